--- a/crates/pipithub-directory/src/directory/checks.rs
+++ b/crates/pipithub-directory/src/directory/checks.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Checks the state of a server if that is due, as the server has not responded to other searches recently.
+    /// Checks the state of a server if that is due and the server has not responded to other searches recently.
     fn check_server(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/removal_sweep.rs
+++ b/crates/pipithub-directory/src/directory/removal_sweep.rs
@@ -11,7 +11,7 @@
 use crate::roster::Roster;
 use crate::time::Time;
 
-/// The removal of missing users from one directory that is not complete yet.
+/// An incomplete sweep, which removes the missing users of one directory.
 pub(super) struct RemovalSweep {
     pub(super) directory: usize,
     /// When the refresh started, in milliseconds on the caller's clock.
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -40,8 +40,8 @@
     },
     /// The user belongs to no tenant.
     NoTenant,
-    /// The valid records name several tenants, or a directory has several entries of the name. No choice between them
-    /// is safe, so the user's requests are rejected.
+    /// The valid records name several tenants, or a directory has several entries with the name. No choice between
+    /// them is safe, so the user's requests are rejected.
     Ambiguous,
     /// No valid record names a tenant, but a directory may still contain the user, who is to be looked up.
     Unknown,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The properties of a directory on which the validity of its records depends.
+/// The properties of a directory that determine the validity and the refresh of its records.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DirectoryStatus {
     pub(crate) lifetimes: Lifetimes,
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -137,8 +137,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the bytes are not a snapshot, were not written with this key and for these directories, or are from the
-/// future.
+/// Fails if the bytes are not a snapshot, were not written with this key and for these directories, or were written more
+/// than a minute in the future.
 pub fn read(
     bytes: &[u8],
     now: Time,
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -195,7 +195,7 @@
     }
 
     /// Whether a server's state is to be checked now. If the check is due, the next one is scheduled, even if this one is
-    /// not needed and skipped.
+    /// skipped because it is not needed.
     pub(crate) fn take_due_state_check(&mut self, now: Time, server: usize) -> bool {
         if now < self.state_check_due[server] {
             return false;
--- a/crates/pipithub-directory/src/state/replication.rs
+++ b/crates/pipithub-directory/src/state/replication.rs
@@ -14,13 +14,13 @@
 /// Detects copies that lag behind, by the change numbers that all servers have reported.
 #[derive(Default)]
 pub(crate) struct ReplicationProgress {
-    /// The change numbers in ascending order; the oldest are dropped.
+    /// The newest change numbers in ascending order, at most [`MAX_OBSERVED`].
     observed: VecDeque<ObservedChangeNumber>,
 }
 
 impl ReplicationProgress {
     /// Records the change number of a server's copy at a time in milliseconds. If another copy was ahead of this one
-    /// before, returns the time from which on this copy has been outdated: when the next change was first reported.
+    /// before, returns the time from which on this copy has been outdated: when a newer change was first observed.
     pub(crate) fn observe(&mut self, change_number: u64, at_ms: i64) -> Option<i64> {
         let newest = self.observed.back().map(|newest| newest.change_number);
         if newest.is_none_or(|newest| change_number > newest) {
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -34,8 +34,8 @@
 pub struct SimpleBind {
     /// The distinguished name to bind as.
     pub name: String,
-    /// The password, which `Debug` does not show. It must not be empty: the server would treat the bind as
-    /// unauthenticated (RFC 4513, 5.1.2).
+    /// The password, which `Debug` does not show. It must not be empty: without a password the
+    /// connection would be anonymous (RFC 4513, 5.1.2).
     pub password: SecretString,
 }
 
