--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -16,8 +16,7 @@
     pub(super) person: PersonId,
     /// When the result is known to have been true, in milliseconds on the caller's clock.
     pub(super) confirmed_at_ms: i64,
-    /// The change number of the server's copy; `None` if the server reports none, so that a lagging copy cannot be
-    /// detected.
+    /// The change number of the server's copy; `None` if the server reports none. A lagging copy cannot be detected then.
     pub(super) change_number: Option<u64>,
 }
 
@@ -48,12 +47,12 @@
     ) {
         let user = observation.user;
         let refresh_jitter = (self.jitter.next_fraction() * 256.0) as u8;
-        let known = self.roster.record(user, observation.directory).copied();
-        if known.is_some_and(|known| !self.supersedes(now, observation, &known)) {
+        let cached = self.roster.record(user, observation.directory).copied();
+        if cached.is_some_and(|cached| !self.supersedes(now, observation, &cached)) {
             return;
         }
-        let last_wanted_day =
-            known.map_or_else(|| self.wall_clock.day(now), |known| known.last_wanted_day);
+        let last_lookup_day =
+            cached.map_or_else(|| self.wall_clock.day(now), |cached| cached.last_lookup_day);
         let record = LookupRecord {
             directory: observation.directory as u16,
             result: observation.result,
@@ -61,7 +60,7 @@
             confirmed_at_ms: observation.confirmed_at_ms,
             change_number: observation.change_number.unwrap_or(0),
             refresh_jitter,
-            last_wanted_day,
+            last_lookup_day,
         };
         let before = self.roster.resolve(user, now).identity();
         self.store(now, user, record);
@@ -77,23 +76,23 @@
         &mut self,
         now: Time,
         observation: &Observation<'_>,
-        known: &LookupRecord,
+        cached: &LookupRecord,
     ) -> bool {
         let change_number = observation.change_number.unwrap_or(0);
-        if change_number < known.change_number
-            || observation.confirmed_at_ms < known.confirmed_at_ms
+        if change_number < cached.change_number
+            || observation.confirmed_at_ms < cached.confirmed_at_ms
         {
             // The server's copy lags behind the one that the record came from, or a later response arrived first.
             self.stats.outdated_results += 1;
             return false;
         }
         let state = &mut self.directories[observation.directory];
-        if !observation.differs_from(known) {
+        if !observation.differs_from(cached) {
             state.unconfirmed.discard(observation.user);
             return true;
         }
         let max_age_ms = to_ms(state.settings.lifetimes.max_stale);
-        let is_valid_tenant = known.result.is_tenant() && known.age_ms(now) < max_age_ms;
+        let is_valid_tenant = cached.result.is_tenant() && cached.age_ms(now) < max_age_ms;
         if !is_valid_tenant || observation.change_number.is_some() {
             return true;
         }
@@ -118,8 +117,8 @@
         self.roster.users.insert((&**user).into(), records);
     }
 
-    /// Removes the user who would be checked next, whose records are the oldest or name no tenant. Returns whether there
-    /// was one.
+    /// Removes the user who would be checked next, who usually has the oldest records or records that name no tenant.
+    /// Returns whether there was such a user.
     fn evict_user(&mut self) -> bool {
         let Some(user) = self.wheel.pop_first() else {
             return false;
@@ -128,7 +127,7 @@
         true
     }
 
-    /// Removes all records of a user.
+    /// Removes all records of a user from the cache.
     pub(super) fn remove_user(&mut self, user: &str) {
         let Some(records) = self.roster.users.remove(user) else {
             return;
--- a/crates/pipithub-directory/src/directory/refresh.rs
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -1,26 +1,27 @@
-//! Checks cached users when they are due: they are refreshed ahead of the daily peak, or removed.
+//! Checks of cached users when they are due: the users are refreshed ahead of the daily peak, or removed.
 
-use crate::directory::{Directory, MAX_USERS_PER_TURN};
+use crate::directory::{Directory, MAX_USERS_PER_TICK};
 use crate::jitter::stable_fraction;
 use crate::record::{LookupRecord, LookupRecords};
 use crate::refresh_wheel::WheelSecond;
 use crate::state::Priority;
 use crate::time::{Time, to_ms};
 
-/// Users without requests for more days than this are not refreshed ahead of a peak.
-const MAX_UNWANTED_DAYS: u8 = 14;
+/// Users who were not looked up for a request for more days than this are not refreshed ahead of a peak.
+const MAX_DAYS_WITHOUT_LOOKUP: u8 = 14;
 /// The shortest time until the next check of a user, in milliseconds.
 const MIN_CHECK_DELAY_MS: i64 = 1_000;
-/// A record that expires within this time does not determine the next check of its user, which would be too soon.
+/// A check that a record requires within this time does not determine the next check of its user, as it would be too
+/// soon.
 const IMMINENT_EXPIRY_SECONDS: i64 = 2;
 /// The time until the next check of a user if no record determines it.
 const DEFAULT_CHECK_SECONDS: i64 = 60;
 
 impl Directory {
-    /// Checks the users that are due, at most [`MAX_USERS_PER_TURN`] of them.
+    /// Checks the users that are due, at most [`MAX_USERS_PER_TICK`] of them.
     pub(super) fn check_due_users(&mut self, now: Time) {
         let second = WheelSecond::of_ms(to_ms(now));
-        for _ in 0..MAX_USERS_PER_TURN {
+        for _ in 0..MAX_USERS_PER_TICK {
             let Some(user) = self.wheel.pop_due(second) else {
                 return;
             };
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Removes a user without valid records. Other users are refreshed if that is due, and their next check is planned.
+    /// Removes a user without valid records. Another user is refreshed if that is due, and the next check is scheduled.
     fn check_user(&mut self, now: Time, user: &str) {
         let records = self.roster.users.get(user).map(LookupRecords::as_slice);
         let Some(records) = records.map(<[LookupRecord]>::to_vec) else {
@@ -37,7 +38,7 @@
         if !records.iter().any(|record| self.is_valid(now, record)) {
             return self.remove_user(user);
         }
-        if self.was_wanted_recently(now, &records) {
+        if self.was_looked_up_recently(now, &records) {
             self.refresh_ahead_of_peak(now, user, &records);
         }
         let second = WheelSecond::of_ms(to_ms(now));
@@ -50,7 +51,7 @@
         self.wheel.schedule(next_check, user.into());
     }
 
-    /// Whether a record has not expired. Records of followed directories do not expire here.
+    /// Whether a record has not expired. Records of followed directories count as valid here, whatever their age.
     fn is_valid(&self, now: Time, record: &LookupRecord) -> bool {
         let max_age = self.directories[record.directory_index()]
             .settings
@@ -65,11 +66,11 @@
             .is_some()
     }
 
-    fn was_wanted_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
+    fn was_looked_up_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
         let today = self.wall_clock.day(now);
         records
             .iter()
-            .any(|record| today.wrapping_sub(record.last_wanted_day) <= MAX_UNWANTED_DAYS)
+            .any(|record| today.wrapping_sub(record.last_lookup_day) <= MAX_DAYS_WITHOUT_LOOKUP)
     }
 
     /// Queues a user in those directories that have a daily peak and whose record is no longer fresh.
@@ -77,17 +78,18 @@
         for record in records {
             let directory = record.directory_index();
             let settings = &self.directories[directory].settings;
-            let is_refreshed = settings.daily_peak.is_some()
+            let needs_refresh = settings.daily_peak.is_some()
                 && record.result.is_tenant()
                 && record.age_ms(now) >= to_ms(settings.lifetimes.fresh)
                 && !self.is_followed(record);
-            if is_refreshed {
+            if needs_refresh {
                 self.enqueue(now, directory, user.into(), Priority::Background);
             }
         }
     }
 
-    /// The second in which a record requires a check of its user, to refresh it ahead of the peak or to remove it.
+    /// The second in which a record requires a check of its user: when the record is to be refreshed ahead of the peak, or
+    /// when it expires.
     pub(super) fn next_check(&self, now: Time, user: &str, record: &LookupRecord) -> WheelSecond {
         let settings = &self.directories[record.directory_index()].settings;
         let max_age = settings.lifetimes.max_age(record.result);
@@ -106,8 +108,9 @@
         WheelSecond::after_ms(due_ms.max(soonest_ms))
     }
 
-    /// The second of the next check for a record whose refresh was due just now. The record is treated as confirmed now,
-    /// which places the next refresh into the next window, unless the record expires before.
+    /// The second of the next check that a record requires after its user was checked just now. The record is treated as
+    /// refreshed now, so the next refresh is in the next window. The check that the record itself requires counts only if
+    /// it comes first and is not imminent.
     fn next_check_after_refresh(
         &self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -1,4 +1,4 @@
-//! Handles searches that have ended: applies their responses, and retries after failures.
+//! Handles searches that have ended: applies their responses, and retries failed searches.
 
 use std::collections::HashMap;
 
@@ -10,11 +10,12 @@
 use crate::state::Batch;
 use crate::time::{Time, to_ms};
 
-/// How current a response is.
+/// How fresh a response is.
 #[derive(Clone, Copy)]
-struct Validity {
+struct Freshness {
     /// When the response is known to have been true, in milliseconds on the caller's clock.
     confirmed_at_ms: i64,
+    /// The change number of the server's copy; `None` if the server reports none.
     change_number: Option<u64>,
     /// Whether the copy that responded lags behind another server's.
     is_outdated: bool,
@@ -27,7 +28,7 @@
 }
 
 impl Directory {
-    /// Ends a search. A search that was cancelled has ended before and is ignored.
+    /// Ends a search. A search that was cancelled has ended before, so its outcome is ignored.
     pub(super) fn end_search(
         &mut self,
         now: Time,
@@ -59,7 +60,7 @@
             return Err(SearchError::Unavailable);
         }
         if !query.is_answered_by(&response) {
-            // A server that returns entries nobody searched for cannot be trusted with the others.
+            // If a server returns entries that were not searched for, the other entries cannot be trusted either.
             self.stats.unexpected_entries += 1;
             return Err(SearchError::InvalidResponse);
         }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Retries the search for users without a result, and ends the look-ups of those who had their last attempt.
+    /// Retries the search for users without a result, and ends the look-ups of the users who had their last attempt.
     fn retry(&mut self, directory: usize, batch: Batch, outputs: &mut Vec<Output>) {
         let given_up = self.directories[directory].queues.retry(batch);
         self.finish_lookups(given_up, outputs);
@@ -109,8 +110,8 @@
         if outdated_since.is_some() {
             self.stats.outdated_results += 1;
         }
-        // A response is confirmed as of the start of its search, or as of the time since when the copy is outdated.
-        let validity = Validity {
+        // A response is confirmed as of the start of its search, or as of the time at which the copy became outdated.
+        let freshness = Freshness {
             confirmed_at_ms: outdated_since.unwrap_or(to_ms(search.started_at)),
             change_number: response.change_number,
             is_outdated: outdated_since.is_some(),
@@ -118,7 +119,7 @@
         match search.request.query {
             Query::ServerState => {}
             Query::ChangedSince(_) => {
-                self.apply_changes(now, directory, response, validity, outputs);
+                self.apply_changes(now, directory, response, freshness, outputs);
             }
             Query::Users(users) => {
                 self.cancel_hedge_partner(search.hedge_partner, outputs);
@@ -126,7 +127,7 @@
                     users,
                     attempts: search.request.attempts,
                 };
-                self.apply_users(now, directory, batch, &response.entries, validity, outputs);
+                self.apply_users(now, directory, batch, &response.entries, freshness, outputs);
             }
         }
     }
@@ -137,7 +138,7 @@
         now: Time,
         directory: usize,
         response: SearchResponse,
-        validity: Validity,
+        freshness: Freshness,
         outputs: &mut Vec<Output>,
     ) {
         for entry in response.entries {
@@ -149,8 +150,8 @@
                     user: &entry.user,
                     result,
                     person: entry.person,
-                    confirmed_at_ms: validity.confirmed_at_ms,
-                    change_number: validity.change_number,
+                    confirmed_at_ms: freshness.confirmed_at_ms,
+                    change_number: freshness.change_number,
                 };
                 self.observe(now, &observation, outputs);
             }
@@ -158,7 +159,7 @@
         self.directories[directory].record_poll(response.newest_modify_timestamp);
     }
 
-    /// Cancels the other search for the same users, if there is one.
+    /// Cancels the other search for the same users, if it is in flight.
     fn cancel_hedge_partner(&mut self, partner: Option<SearchId>, outputs: &mut Vec<Output>) {
         let Some(id) = partner else { return };
         let Some(search) = self.searches.remove(id) else {
@@ -176,7 +177,7 @@
         directory: usize,
         batch: Batch,
         entries: &[DirectoryEntry],
-        validity: Validity,
+        freshness: Freshness,
         outputs: &mut Vec<Output>,
     ) {
         let mut entries_of: HashMap<&User, Vec<&DirectoryEntry>> = HashMap::new();
@@ -187,7 +188,7 @@
         for user in batch.users {
             let entries = entries_of.get(&user).map_or(&[][..], Vec::as_slice);
             let UserResult { result, person } = self.user_result(directory, entries);
-            if validity.is_outdated && result == LookupResult::Absent {
+            if freshness.is_outdated && result == LookupResult::Absent {
                 // An outdated copy without an entry does not prove that there is none now.
                 undecided.push(user);
                 continue;
@@ -198,8 +199,8 @@
                 user: &user,
                 result,
                 person,
-                confirmed_at_ms: validity.confirmed_at_ms,
-                change_number: validity.change_number,
+                confirmed_at_ms: freshness.confirmed_at_ms,
+                change_number: freshness.change_number,
             };
             self.observe(now, &observation, outputs);
             self.finish_lookup(user, outputs);
--- a/crates/pipithub-directory/src/directory/tenant_bases.rs
+++ b/crates/pipithub-directory/src/directory/tenant_bases.rs
@@ -15,7 +15,8 @@
         TenantBases { bases }
     }
 
-    /// The tenant of an entry: of all tenants whose base contains it, the one with the innermost base.
+    /// The tenant of an entry: of all tenants whose base contains the entry, the one with the innermost base. The result is
+    /// [`LookupResult::Absent`] if there is none.
     pub(super) fn find(&self, directory: usize, dn: &Dn) -> LookupResult {
         let innermost = self
             .bases
@@ -24,7 +25,7 @@
             .filter(|(_, tenant)| tenant.directory == directory && dn.is_within(&tenant.base))
             .max_by_key(|(_, tenant)| tenant.base.depth());
         match innermost {
-            Some((number, _)) => LookupResult::Tenant(TenantId(number as u16)),
+            Some((index, _)) => LookupResult::Tenant(TenantId(index as u16)),
             None => LookupResult::Absent,
         }
     }
--- a/crates/pipithub-directory/src/roster/realms.rs
+++ b/crates/pipithub-directory/src/roster/realms.rs
@@ -1,10 +1,10 @@
-//! The directories that are responsible for each realm.
+//! The directories that contain the users of each realm.
 
 use std::collections::HashMap;
 
 use crate::settings::DirectorySettings;
 
-/// The directories, by the realms of the users that they know.
+/// The directories, by the realms of the users that they contain.
 #[derive(Debug)]
 pub(crate) struct Realms {
     directories: HashMap<Box<str>, Vec<u16>>,
@@ -16,14 +16,14 @@
     pub(crate) fn new(settings: &[DirectorySettings]) -> Self {
         let mut directories: HashMap<Box<str>, Vec<u16>> = HashMap::new();
         let mut without_realm = Vec::new();
-        for (number, directory) in settings.iter().enumerate() {
-            let number = number as u16;
+        for (index, directory) in settings.iter().enumerate() {
+            let index = index as u16;
             if directory.realms.is_empty() {
-                without_realm.push(number);
+                without_realm.push(index);
             }
             for realm in &directory.realms {
                 let realm = pipithub_ldap::dn::fold(realm);
-                directories.entry(realm.into()).or_default().push(number);
+                directories.entry(realm.into()).or_default().push(index);
             }
         }
         Realms {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The directories that may know a user, by their indexes in the settings.
+    /// The directories that may contain a user, by their indexes in the settings.
     pub(crate) fn directories_for(&self, user: &str) -> &[u16] {
         let Some((_, realm)) = user.rsplit_once('@') else {
             return &self.without_realm;
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -23,17 +23,18 @@
 pub(crate) use self::synchronization::{RefreshStage, SyncState};
 pub(crate) use self::unconfirmed_changes::{ObservedChange, UnconfirmedChanges};
 
-/// The number of servers of a directory whose jitter is guaranteed to have different seeds.
-const SEEDED_SERVERS: usize = 64;
+/// The number of consecutive seeds that each directory uses for the jitter of its servers. The seeds of a directory with
+/// more servers overlap with those of the next directory.
+const SEEDS_PER_DIRECTORY: usize = 64;
 
 /// The state of one directory.
 pub(crate) struct DirectoryState {
     /// The directory's index in the settings.
-    number: usize,
+    index: usize,
     pub(crate) settings: DirectorySettings,
     pub(crate) servers: Vec<Server>,
     pub(crate) queues: LookupQueues,
-    /// Users looked up while no server was reachable. They are searched for together when a server is back.
+    /// Users who were looked up while no server was reachable. They are searched for together when a server is back.
     pub(crate) deferred: HashSet<User>,
     pub(crate) search_tokens: TokenBucket,
     hedge_budget: HedgeBudget,
@@ -42,31 +43,32 @@
     pub(crate) unconfirmed: UnconfirmedChanges,
     /// When the next poll for changes is due; `None` if the directory is not polled.
     poll_due: Option<Time>,
-    /// When each server's state is checked, unless it has responded to another search by then. Servers that are never
-    /// chosen are checked too, as a lagging copy is only detected by comparing the change numbers of all servers.
+    /// When the state of each server is checked, unless the server has responded to another search by then. Servers that
+    /// are never chosen are checked too, as a lagging copy is only detected by comparing the change numbers of all
+    /// servers.
     state_check_due: Vec<Time>,
-    /// The newest `modifyTimestamp` that a poll has returned.
+    /// The newest `modifyTimestamp` that a poll has returned; `None` before the first one.
     newest_modify_timestamp: Option<String>,
-    /// Content synchronization, where the directory is followed.
+    /// The state of content synchronization; unused if the directory is not followed.
     pub(crate) sync: SyncState,
 }
 
 impl DirectoryState {
     /// Creates the state of the directory with this index in the settings.
-    pub(crate) fn new(number: usize, settings: &DirectorySettings, seed: u64) -> Self {
+    pub(crate) fn new(index: usize, settings: &DirectorySettings, seed: u64) -> Self {
         let server_count = settings.server_count.max(1);
         let state_check_interval = settings.state_check_interval() as f64;
         let first_state_check = |server: usize| {
-            let server_seed = seed ^ (number * SEEDED_SERVERS + server) as u64;
+            let server_seed = seed ^ (index * SEEDS_PER_DIRECTORY + server) as u64;
             (state_check_interval * stable_fraction("state", server_seed)) as Time
         };
-        // Front ends that start at the same time must not poll at the same time.
+        // Front ends that start at the same time must not poll the directory at the same time.
         let first_poll = || {
-            let fraction = stable_fraction("poll", seed ^ number as u64);
+            let fraction = stable_fraction("poll", seed ^ index as u64);
             (settings.poll_interval as f64 * fraction) as Time
         };
         DirectoryState {
-            number,
+            index,
             servers: vec![Server::new(); server_count],
             queues: LookupQueues::default(),
             deferred: HashSet::new(),
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Whether at least one server is in use, which means that its circuit breaker is closed.
+    /// Whether at least one server is in use, that is, has a closed circuit breaker.
     pub(crate) fn is_reachable(&self) -> bool {
         self.servers.iter().any(Server::is_closed)
     }
@@ -104,20 +106,21 @@
             .any(|server| server.is_closed() && server.usually_responds_within(hedge_after))
     }
 
-    /// The server for the next search: the one of the lowest cost among those with capacity.
+    /// The server for the next search: the one with the lowest cost among those with capacity; `None` if no server has
+    /// capacity.
     fn choose_server(&self) -> Option<usize> {
         self.choose_server_except(None)
     }
 
-    /// The server for the next search, with one server excluded.
+    /// The server for the next search, as for [`DirectoryState::choose_server`], with the server `except` left out.
     fn choose_server_except(&self, except: Option<usize>) -> Option<usize> {
         let limits = self.server_limits();
         self.servers
             .iter()
             .enumerate()
-            .filter(|(number, server)| Some(*number) != except && server.has_capacity(&limits))
+            .filter(|(index, server)| Some(*index) != except && server.has_capacity(&limits))
             .min_by(|(_, left), (_, right)| left.cost().total_cmp(&right.cost()))
-            .map(|(number, _)| number)
+            .map(|(index, _)| index)
     }
 
     /// Whether queued users are due to be searched for.
@@ -136,14 +139,15 @@
         self.search_tokens.take();
         self.hedge_budget.add_search();
         Some(SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::Users(batch.users),
             attempts: batch.attempts,
         })
     }
 
-    /// A hedge of the search at another server; `None` if the hedge budget is used up or no other server has capacity.
+    /// Takes a hedge of the search, at another server; `None` if the hedge budget is used up or no other server has
+    /// capacity.
     pub(crate) fn take_hedge(&mut self, search: &SearchRequest) -> Option<SearchRequest> {
         if !self.hedge_budget.allows_hedge() {
             return None;
@@ -161,18 +165,18 @@
         let server = &mut self.servers[request.server];
         server.in_flight += 1;
         let hedge_delay = server.hedge_delay(self.settings.hedge_after, self.settings.timeout);
-        let is_hedged = matches!(request.query, Query::Users(_));
+        let may_be_hedged = matches!(request.query, Query::Users(_));
         SearchInFlight {
             started_at: now,
             deadline: now.saturating_add(self.settings.timeout),
-            hedge_at: is_hedged.then_some(now.saturating_add(hedge_delay)),
+            hedge_at: may_be_hedged.then_some(now.saturating_add(hedge_delay)),
             hedge_partner: None,
             request,
         }
     }
 
-    /// Records the response to a search. If the server's copy lags behind another one, returns the time since when it is
-    /// outdated, in milliseconds on the caller's clock.
+    /// Records the response to a search. If the server's copy lags behind another server's, returns the time from which
+    /// on the copy has been outdated, in milliseconds on the caller's clock.
     pub(crate) fn record_response(
         &mut self,
         now: Time,
@@ -190,8 +194,8 @@
         outdated_since
     }
 
-    /// Whether a server's state is to be checked now. If the check is due, the next one is planned, also if this one is
-    /// skipped.
+    /// Whether a server's state is to be checked now. If the check is due, the next one is scheduled, even if this one is
+    /// skipped because it is not needed.
     pub(crate) fn take_due_state_check(&mut self, now: Time, server: usize) -> bool {
         if now < self.state_check_due[server] {
             return false;
@@ -210,7 +214,7 @@
     /// The search that checks a server's state.
     pub(crate) fn state_check(&self, server: usize) -> SearchRequest {
         SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::ServerState,
             attempts: 0,
@@ -224,7 +228,7 @@
         self.poll_due = Some(now + self.settings.poll_interval);
         let server = self.choose_server()?;
         Some(SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::ChangedSince(self.newest_modify_timestamp.clone()),
             attempts: 0,
@@ -237,7 +241,7 @@
             newest_modify_timestamp.max(self.newest_modify_timestamp.take());
     }
 
-    /// The next time at which a tick has an effect on this directory.
+    /// The next time at which a tick has an effect on this directory; `None` if there is none.
     pub(crate) fn next_due(&self, now: Time) -> Option<Time> {
         let breakers = self.servers.iter().filter_map(Server::probe_due);
         let state_check = self.state_check_due.iter().min().copied();
@@ -254,7 +258,7 @@
             .min()
     }
 
-    /// When the rate limit allows the next search, if a search waits for nothing else.
+    /// When the rate limit allows the next search; `None` if no search waits for the rate limit alone.
     fn next_token_due(&self, now: Time) -> Option<Time> {
         let limits = self.server_limits();
         let has_capacity = self
