--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -17,29 +17,29 @@
     initial: Time,
     max: Time,
     /// A connection that stays up for this long resets the number of failures.
-    healthy: Time,
+    healthy_after: Time,
     failures: u32,
-    up_since: Option<Time>,
+    connected_since: Option<Time>,
     random: u64,
 }
 
 impl Backoff {
-    /// Creates a backoff from `initial`, doubling to `max`, that is reset by a connection which stays up for `healthy`.
-    /// Times are in nanoseconds; equal seeds give equal jitter.
-    pub fn new(initial: Time, max: Time, healthy: Time, seed: u64) -> Self {
+    /// Creates a backoff from `initial`, doubling to `max`, that is reset by a connection which stays up for
+    /// `healthy_after`. Times are in nanoseconds; equal seeds give equal jitter.
+    pub fn new(initial: Time, max: Time, healthy_after: Time, seed: u64) -> Self {
         Backoff {
             initial,
             max,
-            healthy,
+            healthy_after,
             failures: 0,
-            up_since: None,
+            connected_since: None,
             random: seed | 1,
         }
     }
 
     /// Records that a connection is up.
-    pub fn up(&mut self, now: Time) {
-        self.up_since = Some(now);
+    pub fn connected(&mut self, now: Time) {
+        self.connected_since = Some(now);
     }
 
     /// Records that an attempt failed or a connection was lost, and returns how long to wait before the next attempt.
@@ -47,11 +47,11 @@
     /// Half of the backoff is random, so that the clients of a broker do not reconnect at the same moments. A
     /// connection that is lost soon after it came up counts as a failure, so that a faulty broker is not called without
     /// a pause.
-    pub fn down(&mut self, now: Time) -> Time {
+    pub fn delay_after_failure(&mut self, now: Time) -> Time {
         if self
-            .up_since
+            .connected_since
             .take()
-            .is_some_and(|up| now >= up + self.healthy)
+            .is_some_and(|up| now >= up + self.healthy_after)
         {
             self.failures = 0;
         }
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -21,8 +21,8 @@
 pub use self::notice::{Notice, Phase};
 pub use self::settings::{ConsumerSettings, DeadLetterTarget, Qos};
 use crate::backoff::{Backoff, BackoffRange};
-use crate::identity::Identity;
-use crate::latest_wall::LatestWall;
+use crate::identity::IdentityVerifier;
+use crate::latest_wall::LatestWallTime;
 use crate::message::ReplyAddress;
 
 const MS: Time = 1_000_000;
@@ -60,11 +60,11 @@
     shutting_down: bool,
     /// Whether the exchange for dead letters is missing. Publishing to it would close the channel for each message that
     /// cannot be read, so such messages are rejected instead.
-    no_dead_letters: bool,
+    dead_letter_exchange_missing: bool,
     notices: VecDeque<Notice>,
-    identity: Identity,
+    identity_verifier: IdentityVerifier,
     wall_ms: u64,
-    latest_wall: LatestWall,
+    latest_wall: LatestWallTime,
     latest_wall_ms: u64,
     now: Time,
 }
@@ -77,7 +77,7 @@
             backoff: Backoff::new(initial, max, HEALTHY_AFTER, seed),
             tag: ShortStr::truncated(&settings.front_end),
             capacity: usize::from(settings.prefetch),
-            identity: Identity::new(settings.identity.clone()),
+            identity_verifier: IdentityVerifier::new(settings.identity.clone()),
             settings,
             endpoint: None,
             phase: Phase::Idle(now),
@@ -89,10 +89,10 @@
             blocked: false,
             applied_limit: AppliedLimit::default(),
             shutting_down: false,
-            no_dead_letters: false,
+            dead_letter_exchange_missing: false,
             notices: VecDeque::new(),
             wall_ms: 0,
-            latest_wall: LatestWall::default(),
+            latest_wall: LatestWallTime::default(),
             latest_wall_ms: 0,
             now,
         }
@@ -128,18 +128,18 @@
     pub fn transport_lost(&mut self, now: Time, reason: &str) {
         self.now = now;
         match self.phase {
-            Phase::Idle(_) => self.phase = Phase::Idle(now + self.backoff.down(now)),
+            Phase::Idle(_) => self.phase = Phase::Idle(now + self.backoff.delay_after_failure(now)),
             Phase::Stopped => {}
             _ => {
                 self.endpoint = None;
-                self.lose_tickets(reason);
+                self.invalidate_tickets(reason);
             }
         }
     }
 
     /// Voids all tickets. The broker delivers their messages again, unless their transaction was committed. Another
     /// transport is wanted after the backoff.
-    fn lose_tickets(&mut self, reason: &str) {
+    fn invalidate_tickets(&mut self, reason: &str) {
         self.in_flight.clear();
         self.pending.clear();
         self.committing.clear();
@@ -148,7 +148,7 @@
         self.phase = if self.shutting_down {
             Phase::Stopped
         } else {
-            Phase::Idle(self.now + self.backoff.down(self.now))
+            Phase::Idle(self.now + self.backoff.delay_after_failure(self.now))
         };
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Whether the connection is closed, so that the transport may be closed too.
-    pub fn is_over(&self) -> bool {
+    pub fn is_connection_closed(&self) -> bool {
         self.endpoint.as_ref().is_none_or(Endpoint::is_closed)
     }
 
--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -112,7 +112,7 @@
         error: &MessageError,
         content: &Content,
     ) -> bool {
-        if self.no_dead_letters {
+        if self.dead_letter_exchange_missing {
             return false;
         }
         let Some(target) = self.settings.dead_letter.clone() else {
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -34,7 +34,7 @@
                 Event::ChannelClosed { fault, .. } => self.handle_channel_closed(fault),
                 // While stopping, the caller writes what is left and then reports that the transport is gone.
                 Event::Closed { fault, .. } if self.phase != Phase::Stopped => {
-                    self.lose_tickets(&fault.to_string());
+                    self.invalidate_tickets(&fault.to_string());
                 }
                 Event::Closed { .. }
                 | Event::Login { .. }
@@ -62,7 +62,7 @@
     fn handle_channel_closed(&mut self, fault: Fault) {
         let failed_method = (fault.class_id, fault.method_id);
         if fault.code == Code::NotFound as u16 && failed_method == (BASIC_CLASS, BASIC_PUBLISH) {
-            self.no_dead_letters = true;
+            self.dead_letter_exchange_missing = true;
         }
         // The queue exists with other properties than those it would be declared with. It is used as it is.
         let is_mismatch = fault.code == Code::PreconditionFailed as u16;
@@ -88,7 +88,7 @@
             (Method::BasicCancel { consumer_tag, .. }, _) if consumer_tag == self.tag => {
                 // The queue was deleted or its node lost. Deliveries in flight stay valid, and the queue may come back.
                 self.notices.push_back(Notice::Cancelled);
-                let resume_at = Some(self.now + self.backoff.down(self.now));
+                let resume_at = Some(self.now + self.backoff.delay_after_failure(self.now));
                 self.phase = Phase::Paused { channel, resume_at };
             }
             (
@@ -116,7 +116,7 @@
             return self.finish_shutdown();
         }
         if self.capacity == 0 {
-            self.backoff.up(self.now);
+            self.backoff.connected(self.now);
             self.phase = Phase::Paused {
                 channel,
                 resume_at: None,
@@ -128,7 +128,7 @@
 
     fn handle_consuming(&mut self, channel: u16) {
         self.phase = Phase::Consuming { channel };
-        self.backoff.up(self.now);
+        self.backoff.connected(self.now);
         self.notices.push_back(Notice::Consuming);
         if self.shutting_down || self.capacity == 0 {
             self.pause(channel, None);
@@ -146,7 +146,7 @@
                 let message_id = content.properties.message_id.as_deref().map(str::to_string);
                 self.notices.push_back(Notice::Unreadable {
                     message_id,
-                    why: error.clone(),
+                    error: error.clone(),
                 });
                 let content = Box::new(content);
                 self.enqueue_answer(number, Answer::Unreadable { error, content });
@@ -173,9 +173,13 @@
             latest_wall_ms: self.latest_wall_ms,
         };
         let read = message::read(content, queue, route, classes, arrival)?;
-        let user = self
-            .identity
-            .user(content, queue, redelivered, self.now, self.wall_ms)?;
+        let user = self.identity_verifier.verify_user(
+            content,
+            queue,
+            redelivered,
+            self.now,
+            self.wall_ms,
+        )?;
         Ok(Trigger {
             ticket: Ticket {
                 source: *source,
--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -32,7 +32,7 @@
         /// The id of the message, if it has one.
         message_id: Option<String>,
         /// The reason why it could not be read.
-        why: MessageError,
+        error: MessageError,
     },
 }
 
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -64,7 +64,7 @@
 
 /// Checks which user messages belong to, and remembers signed messages in order to recognize replays.
 #[derive(Clone, Debug, Default)]
-pub struct Identity {
+pub struct IdentityVerifier {
     rule: Rule,
     replays: ReplayMemory,
 }
@@ -127,12 +127,12 @@
         .collect()
 }
 
-impl Identity {
+impl IdentityVerifier {
     /// Creates a check by a rule.
     pub fn new(rule: Rule) -> Self {
-        Identity {
+        IdentityVerifier {
             rule,
-            ..Identity::default()
+            ..IdentityVerifier::default()
         }
     }
 
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// Fails if the message does not prove its user as the rule demands, or names one that the rule does not accept.
-    pub fn user(
+    pub fn verify_user(
         &mut self,
         content: &Content,
         queue: &str,
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -9,7 +9,7 @@
 /// The wall time by the clock reading that was furthest ahead. Steps forward are followed at once, steps back after a
 /// day.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LatestWall {
+pub struct LatestWallTime {
     greatest: Option<Lead>,
 }
 
@@ -21,7 +21,7 @@
     seen_at: Time,
 }
 
-impl LatestWall {
+impl LatestWallTime {
     /// Records a reading of the monotonic and the wall clock, and returns the latest wall time that `now` can be, in
     /// Unix milliseconds.
     pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
--- a/crates/pipithub-consumer/src/lib.rs
+++ b/crates/pipithub-consumer/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod replay;
 
 pub use consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
-pub use latest_wall::LatestWall;
+pub use latest_wall::LatestWallTime;
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -26,7 +26,7 @@
 
 const MS: Time = 1_000_000;
 /// Timeouts and ages are capped at a day.
-const MAX_SPAN_MS: u64 = 86_400_000;
+const MAX_DURATION_MS: u64 = 86_400_000;
 /// If the clock of a sender is ahead by more than this, the age of its messages counts as unknown.
 const MAX_SKEW_MS: u64 = 1_000;
 /// The maximum length of the name of a function, in bytes.
@@ -44,13 +44,13 @@
     /// The memory that one replica takes, in MB.
     pub memory_mb: f64,
     /// The number of calls that one replica runs at a time; 0 counts as 1.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// The usual time to load a replica, in nanoseconds; `None` if it is not known.
     pub load_time: Option<Time>,
     /// The expected run time of a call, in nanoseconds; `None` if it is not known.
-    pub expected: Option<Time>,
+    pub expected_work: Option<Time>,
     /// The client timeout, in nanoseconds; `None` leaves it to the class.
-    pub budget: Option<Time>,
+    pub client_timeout: Option<Time>,
     /// The tenant that the route belongs to; `None` if it belongs to none.
     pub tenant: Option<Tenant>,
 }
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_SPAN_MS`].
-    fn span(self, name: &'static str) -> Result<Option<Time>, MessageError> {
+    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_DURATION_MS`].
+    fn duration(self, name: &'static str) -> Result<Option<Time>, MessageError> {
         let millis = self.number(name)?;
-        Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
+        Ok(millis.map(|ms| (ms.min(MAX_DURATION_MS as f64) * MS as f64) as Time))
     }
 
     fn text(self, name: &'static str) -> Result<Option<&'a str>, MessageError> {
@@ -119,7 +119,7 @@
 pub struct ArrivalTime {
     /// The wall time, in Unix milliseconds. What is left of the client timeout is computed from it.
     pub wall_ms: u64,
-    /// The wall time according to [`crate::LatestWall`], in Unix milliseconds. The age of a message is computed from
+    /// The wall time according to [`crate::LatestWallTime`], in Unix milliseconds. The age of a message is computed from
     /// it, so that a step back of the clock makes no message look younger.
     pub latest_wall_ms: u64,
 }
@@ -127,13 +127,18 @@
 impl ArrivalTime {
     /// The time since `sent_ms` by the wall clock, in nanoseconds; 0 if the clock was stepped back beyond it.
     fn since(&self, sent_ms: u64) -> Time {
-        self.wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS
+        self.wall_ms.saturating_sub(sent_ms).min(MAX_DURATION_MS) * MS
     }
 
     /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that lies in the future.
     fn max_age(&self, sent_ms: u64) -> Option<Time> {
         let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
-        is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS)
+        is_known.then(|| {
+            self.latest_wall_ms
+                .saturating_sub(sent_ms)
+                .min(MAX_DURATION_MS)
+                * MS
+        })
     }
 }
 
@@ -168,12 +173,14 @@
         age: sent
             .earliest_ms
             .and_then(|sent_ms| arrival.max_age(sent_ms)),
-        expected_work: headers.span("pipithub-expected-ms")?.or(route.expected),
+        expected_work: headers
+            .duration("pipithub-expected-ms")?
+            .or(route.expected_work),
         memory_mb: headers
             .number("pipithub-memory-mb")?
             .unwrap_or(route.memory_mb),
         replica_concurrency,
-        load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
+        load_time: headers.duration("pipithub-load-ms")?.or(route.load_time),
         message_id: message_id
             .or(properties.correlation_id.as_deref())
             .map(Into::into),
@@ -194,7 +201,7 @@
 /// The number of calls that one replica runs at a time.
 fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, MessageError> {
     let given = headers.number("pipithub-lanes")?;
-    let concurrency = given.map_or(route.lanes, |given| {
+    let concurrency = given.map_or(route.replica_concurrency, |given| {
         given.min(MAX_REPLICA_CONCURRENCY) as u32
     });
     Ok(concurrency.max(1))
@@ -243,11 +250,11 @@
     headers: Headers<'_>,
     route: &Route,
 ) -> Result<Option<Time>, MessageError> {
-    let budget = headers.span("pipithub-budget-ms");
+    let budget = headers.duration("pipithub-budget-ms");
     let expiration = match &properties.expiration {
         None => None,
         Some(text) => match text.parse::<u64>() {
-            Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
+            Ok(ms) => Some(ms.min(MAX_DURATION_MS) * MS),
             Err(_) => {
                 return Err(MessageError::InvalidExpiration {
                     text: text.to_string(),
@@ -259,7 +266,7 @@
         .into_iter()
         .flatten()
         .min()
-        .or(route.budget))
+        .or(route.client_timeout))
 }
 
 /// When a message was sent, in Unix milliseconds.
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -41,7 +41,7 @@
     }
 
     /// The minimum time for which an id is remembered.
-    fn span(&self) -> Time {
+    fn retention(&self) -> Time {
         let accepted_ms = self.behind_ms.saturating_add(self.ahead_ms);
         accepted_ms
             .saturating_mul(NANOS_PER_MS)
@@ -63,7 +63,7 @@
 struct Remembered {
     id: IdDigest,
     sent_ms: u64,
-    accepted: Time,
+    accepted_at: Time,
 }
 
 /// The signed messages that were accepted, bounded in number.
@@ -114,14 +114,14 @@
         self.by_arrival.push_back(Remembered {
             id,
             sent_ms,
-            accepted: now,
+            accepted_at: now,
         });
         true
     }
 
     fn forget_expired(&mut self, now: Time, wall_ms: u64, tolerance: Tolerance) {
         let is_expired = |oldest: &Remembered| {
-            now.saturating_sub(oldest.accepted) > tolerance.span()
+            now.saturating_sub(oldest.accepted_at) > tolerance.retention()
                 && tolerance.is_past(oldest.sent_ms, wall_ms)
         };
         while self.by_arrival.front().is_some_and(is_expired) {
@@ -155,9 +155,9 @@
     }
 
     fn add(&mut self, sent_ms: u64) {
-        let place = self.0.partition_point(|span| span.first_ms <= sent_ms);
+        let index = self.0.partition_point(|span| span.first_ms <= sent_ms);
         self.0.insert(
-            place,
+            index,
             Span {
                 first_ms: sent_ms,
                 last_ms: sent_ms,
--- a/crates/pipithub-consumer/tests/identity.rs
+++ b/crates/pipithub-consumer/tests/identity.rs
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use pipithub_amqp::{Content, FieldTable, Properties, ShortStr};
 use pipithub_clock::ManualClock;
-use pipithub_consumer::identity::{Identity, Keys, Rule, sign};
+use pipithub_consumer::identity::{IdentityVerifier, Keys, Rule, sign};
 use pipithub_engine::Time;
 
 const MS: Time = 1_000_000;
 const HOUR_MS: i64 = 3_600_000;
 const NOW: Time = 1;
 
-const WALL: u64 = 1_800_000_000_000;
+const WALL_MS: u64 = 1_800_000_000_000;
 
 fn rule() -> Rule {
     let keys = BTreeMap::from([("desk".to_string(), b"secret".to_vec())]);
@@ -23,12 +23,12 @@
     }))
 }
 
-fn message(id: &str, sent: u64) -> Content {
+fn message(id: &str, sent_ms: u64) -> Content {
     let headers = FieldTable::new()
         .with("pipithub-user", "Mai")
         .with("pipithub-key-id", "desk")
         .with("pipithub-function", "north-map")
-        .with("pipithub-sent-ms", sent as i64);
+        .with("pipithub-sent-ms", sent_ms as i64);
     let properties = Properties {
         headers: Some(headers),
         message_id: Some(ShortStr::truncated(id)),
@@ -41,8 +41,8 @@
     }
 }
 
-fn signed(id: &str, sent: u64) -> Content {
-    let mut content = message(id, sent);
+fn signed(id: &str, sent_ms: u64) -> Content {
+    let mut content = message(id, sent_ms);
     let signature = sign(b"secret", &content, "q");
     let headers = content.properties.headers.take().unwrap_or_default();
     content.properties.headers = Some(headers.with("pipithub-signature", signature.as_str()));
@@ -51,28 +51,32 @@
 
 #[test]
 fn signed_call_is_accepted_once_and_again_only_if_redelivered() {
-    let mut identity = Identity::new(rule());
-    let call = signed("m", WALL - 10);
+    let mut identity = IdentityVerifier::new(rule());
+    let call = signed("m", WALL_MS - 10);
     assert_eq!(
-        identity.user(&call, "q", false, NOW, WALL),
+        identity.verify_user(&call, "q", false, NOW, WALL_MS),
         Ok(Some("mai".into()))
     );
     assert!(
-        identity.user(&call, "q", false, NOW, WALL + 1).is_err(),
+        identity
+            .verify_user(&call, "q", false, NOW, WALL_MS + 1)
+            .is_err(),
         "published a second time"
     );
     assert!(
-        identity.user(&call, "q", true, NOW, WALL + 1).is_ok(),
+        identity
+            .verify_user(&call, "q", true, NOW, WALL_MS + 1)
+            .is_ok(),
         "delivered again by the broker"
     );
     assert!(
         identity
-            .user(&signed("old", WALL - 60_001), "q", false, NOW, WALL)
+            .verify_user(&signed("old", WALL_MS - 60_001), "q", false, NOW, WALL_MS)
             .is_err()
     );
     assert!(
         identity
-            .user(&signed("new", WALL + 30_001), "q", false, NOW, WALL)
+            .verify_user(&signed("new", WALL_MS + 30_001), "q", false, NOW, WALL_MS)
             .is_err()
     );
 }
@@ -85,35 +89,35 @@
         |c| c.properties.reply_to = Some(ShortStr::truncated("mine")),
         |c| c.properties.message_id = Some(ShortStr::truncated("other")),
         |c| c.properties.kind = Some(ShortStr::truncated("assign")),
-        |c| set(c, "pipithub-user", "lan"),
-        |c| set(c, "pipithub-function", "south-map"),
-        |c| set(c, "pipithub-class", "assign"),
-        |c| set(c, "pipithub-signature", "00"),
+        |c| set_header(c, "pipithub-user", "lan"),
+        |c| set_header(c, "pipithub-function", "south-map"),
+        |c| set_header(c, "pipithub-class", "assign"),
+        |c| set_header(c, "pipithub-signature", "00"),
     ];
     for (n, change) in changes.into_iter().enumerate() {
-        let mut call = signed("m", WALL);
+        let mut call = signed("m", WALL_MS);
         change(&mut call);
         assert!(
-            Identity::new(rule())
-                .user(&call, "q", false, NOW, WALL)
+            IdentityVerifier::new(rule())
+                .verify_user(&call, "q", false, NOW, WALL_MS)
                 .is_err(),
             "change {n}"
         );
     }
     assert!(
-        Identity::new(rule())
-            .user(&signed("m", WALL), "other-queue", false, NOW, WALL)
+        IdentityVerifier::new(rule())
+            .verify_user(&signed("m", WALL_MS), "other-queue", false, NOW, WALL_MS)
             .is_err()
     );
     assert!(
-        Identity::new(rule())
-            .user(&message("m", WALL), "q", false, NOW, WALL)
+        IdentityVerifier::new(rule())
+            .verify_user(&message("m", WALL_MS), "q", false, NOW, WALL_MS)
             .is_err(),
         "unsigned"
     );
 }
 
-fn set(content: &mut Content, name: &str, value: &str) {
+fn set_header(content: &mut Content, name: &str, value: &str) {
     let headers = content.properties.headers.take().unwrap_or_default();
     let others = headers.iter().filter(|(n, _)| n.to_string() != name);
     let kept = others.fold(FieldTable::new(), |t, (n, v)| t.with(n, v.clone()));
@@ -122,45 +126,50 @@
 
 #[test]
 fn only_the_user_id_that_the_broker_checked_is_accepted() {
-    let mut content = message("m", WALL);
+    let mut content = message("m", WALL_MS);
     assert!(
-        Identity::new(Rule::Broker)
-            .user(&content, "q", false, NOW, WALL)
+        IdentityVerifier::new(Rule::Broker)
+            .verify_user(&content, "q", false, NOW, WALL_MS)
             .is_err(),
         "no user_id"
     );
     content.properties.user_id = Some(ShortStr::truncated("lan"));
     assert!(
-        Identity::new(Rule::Broker)
-            .user(&content, "q", false, NOW, WALL)
+        IdentityVerifier::new(Rule::Broker)
+            .verify_user(&content, "q", false, NOW, WALL_MS)
             .is_err(),
         "another user in the header"
     );
-    set(&mut content, "pipithub-user", "lan");
+    set_header(&mut content, "pipithub-user", "lan");
     assert_eq!(
-        Identity::new(Rule::Broker).user(&content, "q", false, NOW, WALL),
+        IdentityVerifier::new(Rule::Broker).verify_user(&content, "q", false, NOW, WALL_MS),
         Ok(Some("lan".into()))
     );
     assert!(
-        Identity::new(Rule::None)
-            .user(&content, "q", false, NOW, WALL)
+        IdentityVerifier::new(Rule::None)
+            .verify_user(&content, "q", false, NOW, WALL_MS)
             .is_err(),
         "a user that the broker did not check"
     );
     content.properties.user_id = Some(ShortStr::truncated("x\u{7}"));
-    set(&mut content, "pipithub-user", "x\u{7}");
+    set_header(&mut content, "pipithub-user", "x\u{7}");
     assert!(
-        Identity::new(Rule::Broker)
-            .user(&content, "q", false, NOW, WALL)
+        IdentityVerifier::new(Rule::Broker)
+            .verify_user(&content, "q", false, NOW, WALL_MS)
             .is_err()
     );
 }
 
 /// Whether a message signed at this time is accepted, by clocks that may have been stepped.
-fn is_accepted(identity: &mut Identity, id: &str, sent_ms: u64, clock: &ManualClock) -> bool {
+fn is_accepted(
+    identity: &mut IdentityVerifier,
+    id: &str,
+    sent_ms: u64,
+    clock: &ManualClock,
+) -> bool {
     let reading = clock.read();
     identity
-        .user(
+        .verify_user(
             &signed(id, sent_ms),
             "q",
             false,
@@ -174,25 +183,28 @@
 /// replays were accepted.
 #[test]
 fn replay_is_rejected_after_steps_of_the_wall_clock() {
-    for there_ms in [1_000, 40_000, 95_000, HOUR_MS] {
-        for first_ms in [there_ms, -there_ms] {
-            let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
-            assert!(is_accepted(&mut identity, "m", WALL, &clock));
-            clock.step_wall_ms(first_ms);
+    for offset_ms in [1_000, 40_000, 95_000, HOUR_MS] {
+        for step_ms in [offset_ms, -offset_ms] {
+            let (mut clock, mut identity) = (
+                ManualClock::new(NOW, WALL_MS),
+                IdentityVerifier::new(rule()),
+            );
+            assert!(is_accepted(&mut identity, "m", WALL_MS, &clock));
+            clock.step_wall_ms(step_ms);
             // Another message arrives at the stepped time, which forgets what has expired.
             let sent_ms = clock.read().wall_ms;
             assert!(
                 is_accepted(&mut identity, "other", sent_ms, &clock),
-                "step {first_ms}"
+                "step {step_ms}"
             );
             assert!(
-                !is_accepted(&mut identity, "m", WALL, &clock),
-                "step {first_ms}"
+                !is_accepted(&mut identity, "m", WALL_MS, &clock),
+                "step {step_ms}"
             );
-            clock.step_wall_ms(-first_ms);
+            clock.step_wall_ms(-step_ms);
             assert!(
-                !is_accepted(&mut identity, "m", WALL, &clock),
-                "step {first_ms} and back"
+                !is_accepted(&mut identity, "m", WALL_MS, &clock),
+                "step {step_ms} and back"
             );
         }
     }
@@ -202,16 +214,19 @@
 #[test]
 fn replay_of_an_expired_message_is_rejected_after_a_step_back() {
     for waited_ms in [60_000, 90_000, 91_000, 3_600_000, 3_700_000, 7_200_000] {
-        let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
-        assert!(is_accepted(&mut identity, "m", WALL, &clock));
+        let (mut clock, mut identity) = (
+            ManualClock::new(NOW, WALL_MS),
+            IdentityVerifier::new(rule()),
+        );
+        assert!(is_accepted(&mut identity, "m", WALL_MS, &clock));
         clock.advance(waited_ms * MS);
         assert!(
-            is_accepted(&mut identity, "other", WALL + waited_ms, &clock),
+            is_accepted(&mut identity, "other", WALL_MS + waited_ms, &clock),
             "after {waited_ms}"
         );
         clock.step_wall_ms(-(waited_ms as i64));
         assert!(
-            !is_accepted(&mut identity, "m", WALL, &clock),
+            !is_accepted(&mut identity, "m", WALL_MS, &clock),
             "after {waited_ms}"
         );
     }
@@ -219,7 +234,10 @@
 
 #[test]
 fn new_messages_are_accepted_after_a_step_back_by_an_hour() {
-    let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
+    let (mut clock, mut identity) = (
+        ManualClock::new(NOW, WALL_MS),
+        IdentityVerifier::new(rule()),
+    );
     for n in 0..100 {
         assert!(is_accepted(
             &mut identity,
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_clock::ManualClock;
-use pipithub_consumer::LatestWall;
+use pipithub_consumer::LatestWallTime;
 use pipithub_consumer::message::{
     ArrivalTime, ClassName, MessageError, ParsedMessage, Route, read,
 };
@@ -11,10 +11,10 @@
 
 const MS: Time = 1_000_000;
 
-const WALL: u64 = 1_800_000_000_500;
+const WALL_MS: u64 = 1_800_000_000_500;
 const ARRIVAL: ArrivalTime = ArrivalTime {
-    wall_ms: WALL,
-    latest_wall_ms: WALL,
+    wall_ms: WALL_MS,
+    latest_wall_ms: WALL_MS,
 };
 
 fn classes() -> Vec<ClassName> {
@@ -40,7 +40,7 @@
     }
 }
 
-fn header(p: &mut Properties, name: &str, value: impl Into<FieldValue>) {
+fn set_header(p: &mut Properties, name: &str, value: impl Into<FieldValue>) {
     p.headers = Some(p.headers.take().unwrap_or_default().with(name, value));
 }
 
@@ -64,22 +64,22 @@
     );
     let sent = |p: &mut Properties| {
         p.expiration = Some(ShortStr::truncated("900"));
-        header(p, "pipithub-sent-ms", (WALL - 400) as i64);
+        set_header(p, "pipithub-sent-ms", (WALL_MS - 400) as i64);
     };
     assert_eq!(budget(sent), Some(500 * MS));
     assert_eq!(
         budget(|p| {
             p.expiration = Some(ShortStr::truncated("900"));
-            header(p, "pipithub-budget-ms", 300i64);
-            header(p, "pipithub-sent-ms", (WALL - 400) as i64);
+            set_header(p, "pipithub-budget-ms", 300i64);
+            set_header(p, "pipithub-sent-ms", (WALL_MS - 400) as i64);
         }),
         Some(0)
     );
     // A clock that runs behind must not lengthen the timeout.
     assert_eq!(
         budget(|p| {
-            header(p, "pipithub-budget-ms", 300i64);
-            header(p, "pipithub-sent-ms", (WALL + 5_000) as i64);
+            set_header(p, "pipithub-budget-ms", 300i64);
+            set_header(p, "pipithub-sent-ms", (WALL_MS + 5_000) as i64);
         }),
         Some(300 * MS)
     );
@@ -90,7 +90,7 @@
 #[test]
 fn timestamp_in_seconds_neither_shortens_the_timeout_nor_lowers_the_age() {
     let read = read_with(|p| {
-        p.timestamp = Some(WALL / 1000 - 1);
+        p.timestamp = Some(WALL_MS / 1000 - 1);
         p.expiration = Some(ShortStr::truncated("2000"));
     });
     let call = read.expect("readable").call;
@@ -101,23 +101,32 @@
 
 #[test]
 fn unreadable_message_is_rejected_with_its_reason() {
-    let why = |change: fn(&mut Properties)| read_with(change).expect_err("unreadable").to_string();
-    assert!(why(|p| p.headers = None).contains("pipithub-class"));
-    assert!(why(|p| header(p, "pipithub-class", "nope")).contains("'nope'"));
-    assert!(why(|p| header(p, "pipithub-function", "")).contains("0 bytes"));
-    assert!(why(|p| header(p, "pipithub-function", 5i64)).contains("not a text"));
-    assert!(why(|p| header(p, "pipithub-memory-mb", "lots")).contains("pipithub-memory-mb"));
-    assert!(why(|p| header(p, "pipithub-lanes", -1i64)).contains("pipithub-lanes"));
-    assert!(why(|p| header(p, "pipithub-budget-ms", FieldValue::F64(f64::NAN))).contains("budget"));
-    assert!(why(|p| p.expiration = Some(ShortStr::truncated("soon"))).contains("'soon'"));
-    assert!(why(|p| header(p, "pipithub-class", "change")).contains("needs header pipithub-key"));
+    let rejection =
+        |change: fn(&mut Properties)| read_with(change).expect_err("unreadable").to_string();
+    assert!(rejection(|p| p.headers = None).contains("pipithub-class"));
+    assert!(rejection(|p| set_header(p, "pipithub-class", "nope")).contains("'nope'"));
+    assert!(rejection(|p| set_header(p, "pipithub-function", "")).contains("0 bytes"));
+    assert!(rejection(|p| set_header(p, "pipithub-function", 5i64)).contains("not a text"));
+    assert!(
+        rejection(|p| set_header(p, "pipithub-memory-mb", "lots")).contains("pipithub-memory-mb")
+    );
+    assert!(rejection(|p| set_header(p, "pipithub-lanes", -1i64)).contains("pipithub-lanes"));
+    assert!(
+        rejection(|p| set_header(p, "pipithub-budget-ms", FieldValue::F64(f64::NAN)))
+            .contains("budget")
+    );
+    assert!(rejection(|p| p.expiration = Some(ShortStr::truncated("soon"))).contains("'soon'"));
+    assert!(
+        rejection(|p| set_header(p, "pipithub-class", "change"))
+            .contains("needs header pipithub-key")
+    );
 }
 
 #[test]
 fn identity_key_and_class_come_from_properties_where_headers_are_missing() {
     let named = read_with(|p| {
         p.message_id = Some(ShortStr::truncated("m"));
-        header(p, "pipithub-class", "change");
+        set_header(p, "pipithub-class", "change");
     });
     let named = named.expect("readable");
     assert_eq!(
@@ -157,14 +166,14 @@
 const HOUR_MS: i64 = 3_600_000;
 
 /// The age of a message sent at this wall time, as it is read by a clock that may have been stepped.
-fn age_of(sent_ms: u64, latest: &mut LatestWall, clock: &ManualClock) -> Option<Time> {
+fn age_of(sent_ms: u64, latest: &mut LatestWallTime, clock: &ManualClock) -> Option<Time> {
     let reading = clock.read();
     let latest_wall_ms = latest.observe(reading.now, reading.wall_ms);
     let arrival = ArrivalTime {
         wall_ms: reading.wall_ms,
         latest_wall_ms,
     };
-    let content = content(|p| header(p, "pipithub-sent-ms", sent_ms as i64));
+    let content = content(|p| set_header(p, "pipithub-sent-ms", sent_ms as i64));
     read(&content, "q", &Route::default(), &classes(), arrival)
         .expect("readable")
         .call
@@ -176,19 +185,19 @@
 #[test]
 fn message_looks_no_younger_after_the_wall_clock_steps_back() {
     for step_ms in [-1_000, -HOUR_MS] {
-        let mut clock = ManualClock::new(1, WALL);
-        let mut latest = LatestWall::default();
-        assert_eq!(age_of(WALL, &mut latest, &clock), Some(0));
+        let mut clock = ManualClock::new(1, WALL_MS);
+        let mut latest = LatestWallTime::default();
+        assert_eq!(age_of(WALL_MS, &mut latest, &clock), Some(0));
         clock.advance(20_000 * MS);
         clock.step_wall_ms(step_ms);
         assert_eq!(
-            age_of(WALL, &mut latest, &clock),
+            age_of(WALL_MS, &mut latest, &clock),
             Some(20_000 * MS),
             "step {step_ms}"
         );
         clock.advance(5_000 * MS);
         assert_eq!(
-            age_of(WALL, &mut latest, &clock),
+            age_of(WALL_MS, &mut latest, &clock),
             Some(25_000 * MS),
             "step {step_ms}"
         );
@@ -205,23 +214,26 @@
 
 #[test]
 fn message_looks_older_at_once_after_the_wall_clock_steps_forward() {
-    let mut clock = ManualClock::new(1, WALL);
-    let mut latest = LatestWall::default();
-    assert_eq!(age_of(WALL, &mut latest, &clock), Some(0));
+    let mut clock = ManualClock::new(1, WALL_MS);
+    let mut latest = LatestWallTime::default();
+    assert_eq!(age_of(WALL_MS, &mut latest, &clock), Some(0));
     clock.step_wall_ms(HOUR_MS);
-    assert_eq!(age_of(WALL, &mut latest, &clock), Some(HOUR_MS as u64 * MS));
+    assert_eq!(
+        age_of(WALL_MS, &mut latest, &clock),
+        Some(HOUR_MS as u64 * MS)
+    );
 }
 
 #[test]
 fn age_of_a_message_from_the_future_is_unknown() {
-    let clock = ManualClock::new(1, WALL);
+    let clock = ManualClock::new(1, WALL_MS);
     assert_eq!(
-        age_of(WALL + 1_000, &mut LatestWall::default(), &clock),
+        age_of(WALL_MS + 1_000, &mut LatestWallTime::default(), &clock),
         Some(0),
         "a small difference between clocks"
     );
     assert_eq!(
-        age_of(WALL + 1_001, &mut LatestWall::default(), &clock),
+        age_of(WALL_MS + 1_001, &mut LatestWallTime::default(), &clock),
         None
     );
 }
--- a/crates/pipithub-consumer/tests/replay.rs
+++ b/crates/pipithub-consumer/tests/replay.rs
@@ -4,7 +4,7 @@
 use pipithub_consumer::replay::{ReplayMemory, Tolerance};
 
 const MS: u64 = 1_000_000;
-const WALL: u64 = 1_800_000_000_000;
+const WALL_MS: u64 = 1_800_000_000_000;
 const TOLERANCE: Tolerance = Tolerance {
     behind_ms: 60_000,
     ahead_ms: 30_000,
@@ -18,7 +18,7 @@
 /// Found by a test: an id was forgotten because the memory was full, while its message could still be accepted.
 #[test]
 fn message_forgotten_because_the_memory_was_full_is_not_new() {
-    let mut clock = ManualClock::new(1, WALL);
+    let mut clock = ManualClock::new(1, WALL_MS);
     let mut memory = ReplayMemory::with_capacity(10);
     for n in 0..100 {
         assert!(
@@ -29,7 +29,7 @@
     }
     for n in 0..100 {
         assert!(
-            !is_new(&mut memory, &format!("{n}"), WALL + 100 * n, &clock),
+            !is_new(&mut memory, &format!("{n}"), WALL_MS + 100 * n, &clock),
             "{n}"
         );
     }
@@ -38,9 +38,9 @@
 /// With timestamps far apart, spans are joined to stay few, and none of them is lost.
 #[test]
 fn messages_forgotten_in_any_sequence_are_not_new() {
-    let clock = ManualClock::new(1, WALL);
+    let clock = ManualClock::new(1, WALL_MS);
     let mut memory = ReplayMemory::with_capacity(1);
-    let sent = |n: u64| WALL + (n * 37 % 101) * 10_000;
+    let sent = |n: u64| WALL_MS + (n * 37 % 101) * 10_000;
     let mut accepted = Vec::new();
     for n in 0..101 {
         if is_new(&mut memory, &format!("{n}"), sent(n), &clock) {
@@ -58,9 +58,9 @@
 
 #[test]
 fn message_between_forgotten_spans_is_new() {
-    let mut clock = ManualClock::new(1, WALL);
+    let mut clock = ManualClock::new(1, WALL_MS);
     let mut memory = ReplayMemory::default();
-    assert!(is_new(&mut memory, "before", WALL, &clock));
+    assert!(is_new(&mut memory, "before", WALL_MS, &clock));
     clock.step_wall_ms(7_200_000);
     assert!(is_new(&mut memory, "ahead", clock.read().wall_ms, &clock));
     clock.advance(3_700_000 * MS);
@@ -68,14 +68,14 @@
     // Both are forgotten by now. At the true time, an hour after the start, no message was signed yet.
     clock.step_wall_ms(-7_200_000);
     assert!(is_new(&mut memory, "between", clock.read().wall_ms, &clock));
-    assert!(!is_new(&mut memory, "ahead", WALL + 7_200_000, &clock));
-    assert!(!is_new(&mut memory, "before", WALL, &clock));
+    assert!(!is_new(&mut memory, "ahead", WALL_MS + 7_200_000, &clock));
+    assert!(!is_new(&mut memory, "before", WALL_MS, &clock));
 }
 
 /// An id is remembered for as long as its message could be accepted, and new messages of that time are accepted.
 #[test]
 fn messages_signed_by_a_clock_ahead_are_remembered_until_they_expire() {
-    let mut clock = ManualClock::new(1, WALL);
+    let mut clock = ManualClock::new(1, WALL_MS);
     let mut memory = ReplayMemory::default();
     clock.step_wall_ms(7_200_000);
     let ahead_ms = clock.read().wall_ms;
--- a/crates/pipithub-consumer/tests/with_broker/front_end.rs
+++ b/crates/pipithub-consumer/tests/with_broker/front_end.rs
@@ -31,14 +31,14 @@
 pub(crate) struct RunningAttempt {
     pub(crate) id: AttemptId,
     /// The message id of its call.
-    label: String,
+    message_id: String,
 }
 
 impl RunningAttempt {
     fn new(id: AttemptId, call: &Call) -> Self {
         RunningAttempt {
             id,
-            label: call.message_id.as_deref().unwrap_or("?").to_string(),
+            message_id: call.message_id.as_deref().unwrap_or("?").to_string(),
         }
     }
 }
@@ -153,9 +153,9 @@
 
     /// Ends all attempts with an outcome and returns the message ids of their calls.
     pub(crate) fn finish_attempts(&mut self, now: Time, outcome: Outcome) -> Vec<String> {
-        let mut labels = Vec::new();
+        let mut message_ids = Vec::new();
         for attempt in std::mem::take(&mut self.attempts) {
-            labels.push(attempt.label);
+            message_ids.push(attempt.message_id);
             let finished = Input::AttemptFinished(attempt_result(attempt.id, outcome));
             let mut outputs = Vec::new();
             self.engine.handle(now, finished, &mut outputs);
@@ -163,7 +163,7 @@
                 self.handle_output(now, output);
             }
         }
-        labels
+        message_ids
     }
 }
 
@@ -219,7 +219,7 @@
         declare: true,
         route: Route {
             function: Some("f".into()),
-            lanes: 4,
+            replica_concurrency: 4,
             ..Route::default()
         },
         classes: vec![
--- a/crates/pipithub-consumer/tests/with_broker/main.rs
+++ b/crates/pipithub-consumer/tests/with_broker/main.rs
@@ -21,7 +21,7 @@
 fn call_is_forwarded_and_its_answer_published() {
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("a", class("unsafe"));
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
     assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
@@ -39,7 +39,7 @@
 fn redelivered_message_looks_no_younger_after_the_wall_clock_steps_back() {
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("k", class_sent_at_start("keyed"));
-    bed.settle();
+    bed.run_until_idle();
     bed.wall_step_ms = -3_600_000;
     bed.cut_connection(0);
     bed.advance(3_000 * MS);
@@ -67,7 +67,7 @@
     for (id, class) in [("s", "safe"), ("u", "unsafe"), ("k", "keyed")] {
         bed.publish(id, class_sent_at_start(class));
     }
-    bed.settle();
+    bed.run_until_idle();
     let running: usize = bed
         .front_ends
         .iter()
@@ -76,7 +76,7 @@
     assert_eq!(running, 3);
     bed.kill(0);
     bed.kill(1);
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.verdicts(), [("u", vec!["failed"])]);
     assert_eq!(bed.finish_attempts(Outcome::Served), ["k", "s"]);
     assert_eq!(
@@ -95,7 +95,7 @@
     for commit_arrives in [false, true] {
         let mut bed = TestBed::new(1, 10, Qos::Channel);
         bed.publish("a", |_| {});
-        bed.settle();
+        bed.run_until_idle();
         let id = bed.front_ends[0].attempts.remove(0).id;
         let mut out = Vec::new();
         bed.front_ends[0].engine.handle(
@@ -121,7 +121,7 @@
         let connection = connection.expect("a connection");
         connection.receive(now, &mut bed.broker, &bytes[..arrived]);
         bed.kill(0);
-        bed.settle();
+        bed.run_until_idle();
         let again = bed.finish_attempts(Outcome::Served);
         assert_eq!(again.len(), usize::from(!commit_arrives));
         assert_eq!(
@@ -137,7 +137,7 @@
 fn call_that_runs_while_its_connection_is_lost_is_joined_and_answered_once() {
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("u", class("unsafe"));
-    bed.settle();
+    bed.run_until_idle();
     bed.cut_connection(0);
     bed.advance(300 * MS);
     assert_eq!(
@@ -153,7 +153,7 @@
 fn unreadable_message_is_rejected_and_published_as_a_dead_letter() {
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("bad", class("unheard-of"));
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.verdicts(), [("bad", vec!["refused"])]);
     assert_eq!(
         (bed.broker.depth("calls"), bed.broker.depth("dead")),
@@ -166,7 +166,7 @@
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("a", |p| p.reply_to = Some(short("missing")));
     bed.publish("b", |p| p.reply_to = None);
-    bed.settle();
+    bed.run_until_idle();
     bed.finish_attempts(Outcome::Served);
     assert_eq!(
         (bed.returned_answers(), bed.broker.depth("calls")),
@@ -181,7 +181,7 @@
         for n in 0..50 {
             bed.publish(&format!("{n}"), |_| {});
         }
-        bed.settle();
+        bed.run_until_idle();
         for _ in 0..50 {
             let in_flight = bed.front_ends[0].consumer.in_flight();
             assert!(in_flight <= 8, "{in_flight} in flight");
@@ -197,13 +197,13 @@
 fn answers_wait_while_the_broker_blocks_publishing() {
     let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("a", |_| {});
-    bed.settle();
+    bed.run_until_idle();
     bed.broker.set_blocked(Some("memory"));
-    bed.settle();
+    bed.run_until_idle();
     bed.finish_attempts(Outcome::Served);
     assert_eq!(bed.verdicts(), []);
     bed.broker.set_blocked(None);
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
 }
 
@@ -216,7 +216,7 @@
     bed.broker.declare("calls", &FieldTable::new());
     bed.advance(1_000 * MS);
     bed.publish("a", |_| {});
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
 }
 
@@ -230,7 +230,7 @@
     bed.cut_connection(0);
     bed.advance(1_000 * MS);
     bed.publish("a", |_| {});
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
 }
 
@@ -238,14 +238,14 @@
 fn front_end_that_shuts_down_answers_its_calls_and_takes_no_more() {
     let mut bed = TestBed::new(2, 10, Qos::Channel);
     (0..8).for_each(|n| bed.publish(&format!("{n}"), |_| {}));
-    bed.settle();
+    bed.run_until_idle();
     let now = bed.now;
     bed.front_ends[0].consumer.shutdown(now);
-    bed.settle();
+    bed.run_until_idle();
     let in_flight = bed.front_ends[0].consumer.in_flight();
     assert!(in_flight > 0);
     bed.publish("late", |_| {});
-    bed.settle();
+    bed.run_until_idle();
     assert_eq!(
         bed.front_ends[0].consumer.in_flight(),
         in_flight,
@@ -296,7 +296,7 @@
                 _ => bed.finish_attempts(Outcome::ConnectionLost),
             };
             count_runs(&mut runs, finished);
-            bed.settle();
+            bed.run_until_idle();
         }
         for _ in 0..20 {
             bed.advance(250 * MS);
--- a/crates/pipithub-consumer/tests/with_broker/test_bed.rs
+++ b/crates/pipithub-consumer/tests/with_broker/test_bed.rs
@@ -13,7 +13,7 @@
 
 pub(crate) const MS: Time = 1_000_000;
 /// The wall time at the start, in Unix milliseconds.
-pub(crate) const WALL: u64 = 1_800_000_000_000;
+pub(crate) const WALL_MS: u64 = 1_800_000_000_000;
 /// The steps in which time advances.
 const TIME_STEP: Time = 5 * MS;
 
@@ -31,7 +31,7 @@
     move |properties| {
         class(name)(properties);
         let headers = properties.headers.take().unwrap_or_default();
-        properties.headers = Some(headers.with("pipithub-sent-ms", WALL as i64));
+        properties.headers = Some(headers.with("pipithub-sent-ms", WALL_MS as i64));
     }
 }
 
@@ -70,30 +70,30 @@
             client: Client::new(),
             next_connection: CLIENT_CONNECTION + 1,
         };
-        bed.settle();
+        bed.run_until_idle();
         bed.client.open_channel();
-        bed.settle();
+        bed.run_until_idle();
         bed.client.consume_answers();
-        bed.settle();
+        bed.run_until_idle();
         bed
     }
 
     /// Lets everything happen that needs no time.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn run_until_idle(&mut self) {
         loop {
-            let mut moved = self.client.exchange(self.now, &mut self.broker);
+            let mut progressed = self.client.exchange(self.now, &mut self.broker);
             for number in 0..self.front_ends.len() {
-                moved |= self.step_front_end(number);
+                progressed |= self.step_front_end(number);
             }
-            moved |= self.deliver_broker_outputs();
-            if !moved {
+            progressed |= self.deliver_broker_outputs();
+            if !progressed {
                 return;
             }
         }
     }
 
     fn step_front_end(&mut self, number: usize) -> bool {
-        let wall_ms = (WALL + self.now / MS).saturating_add_signed(self.wall_step_ms);
+        let wall_ms = (WALL_MS + self.now / MS).saturating_add_signed(self.wall_step_ms);
         let front_end = &mut self.front_ends[number];
         let broker = &mut self.broker;
         if !front_end.connect(self.now, broker, &mut self.next_connection) {
@@ -117,15 +117,15 @@
         any
     }
 
-    pub(crate) fn advance(&mut self, length: Time) {
-        let until = self.now + length;
+    pub(crate) fn advance(&mut self, duration: Time) {
+        let until = self.now + duration;
         while self.now < until {
             self.now = (self.now + TIME_STEP).min(until);
             for front_end in &mut self.front_ends {
                 front_end.consumer.on_time(self.now);
             }
             self.broker.on_time(self.now);
-            self.settle();
+            self.run_until_idle();
         }
     }
 
@@ -150,19 +150,19 @@
             if_empty: false,
             no_wait: false,
         });
-        self.settle();
+        self.run_until_idle();
     }
 
     /// Ends all attempts with an outcome and returns the sorted message ids of their calls.
     pub(crate) fn finish_attempts(&mut self, outcome: Outcome) -> Vec<String> {
         let now = self.now;
         let front_ends = self.front_ends.iter_mut();
-        let mut labels: Vec<String> = front_ends
+        let mut message_ids: Vec<String> = front_ends
             .flat_map(|front_end| front_end.finish_attempts(now, outcome))
             .collect();
-        self.settle();
-        labels.sort();
-        labels
+        self.run_until_idle();
+        message_ids.sort();
+        message_ids
     }
 
     /// Cuts the connection of a front end, which notices it at once.
--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -140,8 +140,8 @@
         }
     }
 
-    fn transport_lost(&mut self, why: &str) {
-        self.consumer.transport_lost(self.clock.now(), why);
+    fn transport_lost(&mut self, reason: &str) {
+        self.consumer.transport_lost(self.clock.now(), reason);
     }
 
     fn handle_command(&mut self, command: Option<SourceCommand>) {
@@ -166,7 +166,7 @@
             self.forward_notices().await;
             output.extend_from_slice(&self.consumer.take_output(self.clock.now()));
             let closing = matches!(self.consumer.phase(), Phase::Idle(_));
-            if output.is_empty() && (closing || self.consumer.is_over()) {
+            if output.is_empty() && (closing || self.consumer.is_connection_closed()) {
                 let _ = writer.shutdown().await;
                 return Ok(());
             }
@@ -218,8 +218,8 @@
         let (front_end, queue) = (&self.front_end, &self.queue);
         match notice {
             Notice::Trigger(_) | Notice::Settled(_) => {}
-            Notice::Lost(why) => {
-                warn!(front_end, queue, why, "connection to broker lost");
+            Notice::Lost(reason) => {
+                warn!(front_end, queue, why = reason, "connection to broker lost");
             }
             Notice::Consuming => info!(front_end, queue, "consumer started"),
             Notice::Cancelled => {
@@ -246,8 +246,8 @@
                     "failed to deliver answer; the reply queue does not exist"
                 );
             }
-            Notice::Unreadable { message_id, why } => {
-                warn!(front_end, queue, ?message_id, %why, "rejected invalid message");
+            Notice::Unreadable { message_id, error } => {
+                warn!(front_end, queue, ?message_id, why = %error, "rejected invalid message");
             }
         }
     }
--- a/crates/pipithub-gateway/src/directory/connection.rs
+++ b/crates/pipithub-gateway/src/directory/connection.rs
@@ -189,7 +189,7 @@
         while let Some(event) = client.poll() {
             match event {
                 event if is_awaited(&event) => return Ok(()),
-                Event::Closed(why) => return Err(ConnectionError::Protocol(why)),
+                Event::Closed(reason) => return Err(ConnectionError::Protocol(reason)),
                 _ => {}
             }
         }
--- a/crates/pipithub-gateway/src/directory/follower.rs
+++ b/crates/pipithub-gateway/src/directory/follower.rs
@@ -34,11 +34,13 @@
         let mut cookie = None;
         loop {
             let started = Instant::now();
-            let why = self.follow(server, &mut cookie).await.to_string();
+            let reason = self.follow(server, &mut cookie).await.to_string();
             let name = &self.directory.name;
             warn!(
                 directory = name,
-                server, why, "content synchronization ended, reconnecting"
+                server,
+                why = reason,
+                "content synchronization ended, reconnecting"
             );
             if self.report(SyncEvent::ConnectionLost).await.is_err() {
                 return;
--- a/crates/pipithub-gateway/src/directory/pending_search.rs
+++ b/crates/pipithub-gateway/src/directory/pending_search.rs
@@ -11,7 +11,8 @@
 use pipithub_settings::DirectoryConfig;
 
 use super::searches::{
-    MODIFY_TIMESTAMP, entry_search, first_poll_since, parse_mark, state_search, users_of_entry,
+    MODIFY_TIMESTAMP, entry_search, first_poll_since, parse_change_number, state_search,
+    users_of_entry,
 };
 
 /// The maximum number of entries in a response; with more, it cannot be a response to the query.
@@ -107,7 +108,7 @@
             .iter()
             .flat_map(|attribute| entry.values(attribute));
         self.response.change_number = marks
-            .filter_map(|value| parse_mark(std::str::from_utf8(value).ok()?))
+            .filter_map(|value| parse_change_number(std::str::from_utf8(value).ok()?))
             .max();
     }
 
--- a/crates/pipithub-gateway/src/directory/query.rs
+++ b/crates/pipithub-gateway/src/directory/query.rs
@@ -95,7 +95,7 @@
             let ended = search.handle_done(directory, &mut connection.client, id, &outcome);
             ended.map_err(|failure| result_error(failure, outcome))
         }
-        Event::Closed(why) => Err(ConnectionError::Protocol(why).into()),
+        Event::Closed(reason) => Err(ConnectionError::Protocol(reason).into()),
         _ => Ok(()),
     }
 }
--- a/crates/pipithub-gateway/src/directory/searches.rs
+++ b/crates/pipithub-gateway/src/directory/searches.rs
@@ -23,7 +23,7 @@
 const MAX_USERS_PER_ENTRY: usize = 16;
 /// How far before the present time the first poll for changes begins. It allows for a clock that is an hour ahead, and a
 /// little more.
-const FIRST_POLL_REACH: TimeDelta = TimeDelta::seconds(3_600 + 2);
+const FIRST_POLL_LOOKBACK: TimeDelta = TimeDelta::seconds(3_600 + 2);
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
 /// The search for the state of a server: whether the base of its tree exists, and its change number.
@@ -123,7 +123,7 @@
 }
 
 /// Parses the change number of a server's copy from its mark attribute: a `contextCSN`, or a number that only grows.
-pub(super) fn parse_mark(text: &str) -> Option<u64> {
+pub(super) fn parse_change_number(text: &str) -> Option<u64> {
     let digits: String = text
         .split(['Z', '#'])
         .next()?
@@ -176,7 +176,7 @@
 pub fn first_poll_since(wall_ms: u64) -> String {
     let start_ms = i64::try_from(wall_ms)
         .unwrap_or(i64::MAX)
-        .saturating_sub(FIRST_POLL_REACH.num_milliseconds());
+        .saturating_sub(FIRST_POLL_LOOKBACK.num_milliseconds());
     let start = DateTime::from_timestamp_millis(start_ms).unwrap_or_default();
     start.format("%Y%m%d%H%M%SZ").to_string()
 }
--- a/crates/pipithub-gateway/src/directory/session.rs
+++ b/crates/pipithub-gateway/src/directory/session.rs
@@ -100,7 +100,7 @@
             Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
                 return Ok(());
             }
-            Event::Closed(why) => return Err(ConnectionError::Protocol(why).into()),
+            Event::Closed(reason) => return Err(ConnectionError::Protocol(reason).into()),
         };
         let affected = self
             .searches
--- a/crates/pipithub-gateway/src/directory/sync_session.rs
+++ b/crates/pipithub-gateway/src/directory/sync_session.rs
@@ -116,7 +116,7 @@
             Event::Done(id, outcome) if self.keepalive_search == Some(id) => {
                 Ok(self.handle_keepalive(&outcome))
             }
-            Event::Closed(why) => Err(ConnectionError::Protocol(why).into()),
+            Event::Closed(reason) => Err(ConnectionError::Protocol(reason).into()),
             _ => Ok(Vec::new()),
         }
     }
--- a/crates/pipithub-gateway/src/endpoint_list.rs
+++ b/crates/pipithub-gateway/src/endpoint_list.rs
@@ -95,7 +95,7 @@
             let ended = if self.watcher.version().is_none() {
                 self.fetch_endpoints().await
             } else {
-                self.backoff.up(self.clock.now());
+                self.backoff.connected(self.clock.now());
                 self.watch_endpoints().await
             };
             if self.inputs.is_closed() {
@@ -108,7 +108,7 @@
     }
 
     async fn back_off(&mut self, error: &WatchError) {
-        let delay = self.backoff.down(self.clock.now());
+        let delay = self.backoff.delay_after_failure(self.clock.now());
         warn!(
             front_end = self.settings.front_end,
             why = error.to_string(),
--- a/crates/pipithub-gateway/src/endpoint_list/api.rs
+++ b/crates/pipithub-gateway/src/endpoint_list/api.rs
@@ -72,7 +72,7 @@
 pub(super) struct Watch {
     body: Incoming,
     /// When the connection counts as dead.
-    limit: Instant,
+    deadline: Instant,
 }
 
 impl Watch {
@@ -87,7 +87,7 @@
         let response = get(settings, &query).await?;
         Ok(Watch {
             body: response.into_body(),
-            limit: Instant::now() + Duration::from_secs(WATCH_SECONDS) + WATCH_GRACE,
+            deadline: Instant::now() + Duration::from_secs(WATCH_SECONDS) + WATCH_GRACE,
         })
     }
 
@@ -96,9 +96,9 @@
     ///
     /// A watch that ends early is an error, as it points to a fault of the server: the next request needs a backoff.
     pub(super) async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, WatchError> {
-        match timeout_at(self.limit, self.body.frame()).await {
+        match timeout_at(self.deadline, self.body.frame()).await {
             Ok(Some(frame)) => Ok(Some(frame?)),
-            Ok(None) if Instant::now() + WATCH_END_TOLERANCE >= self.limit => Ok(None),
+            Ok(None) if Instant::now() + WATCH_END_TOLERANCE >= self.deadline => Ok(None),
             Ok(None) => Err(WatchError::WatchEndedEarly),
             Err(_) => Ok(None),
         }
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -37,7 +37,7 @@
     clock: Clock,
     engine: Engine,
     /// How long a graceful shutdown waits for pending requests.
-    drain: Time,
+    drain_timeout: Time,
     workers: Arc<WorkerClient>,
     inputs: mpsc::Receiver<Input>,
     inputs_sender: mpsc::Sender<Input>,
@@ -86,7 +86,7 @@
             classes: config.classes.clone(),
             clock,
             engine: new_engine(config, seed, baseline),
-            drain: config.drain,
+            drain_timeout: config.drain,
             workers: Arc::new(WorkerClient::new(name, config.http, clock)),
             inputs,
             inputs_sender,
@@ -168,7 +168,7 @@
                     }
                 }
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
-                _ = shutdown.wait_for(|asked| *asked), if drain_deadline.is_none() => {
+                _ = shutdown.wait_for(|requested| *requested), if drain_deadline.is_none() => {
                     drain_deadline = Some(self.begin_drain());
                     batch.push(Input::Drain);
                 }
@@ -213,7 +213,7 @@
         for source in self.sources.values() {
             source.send(SourceCommand::Shutdown);
         }
-        self.clock.now() + self.drain
+        self.clock.now() + self.drain_timeout
     }
 
     fn log_end(&self) {
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -50,13 +50,13 @@
 impl Gateway {
     /// Starts all front ends that the settings configure. Must be called within a tokio runtime.
     pub fn start(config: &Config) -> Gateway {
-        Self::start_deciding_by(config, None)
+        Self::start_with_baseline(config, None)
     }
 
     /// Starts all front ends with a baseline policy in place of the decision module, for comparisons in scenarios;
     /// `None` uses the decision module.
-    pub fn start_deciding_by(config: &Config, baseline: Option<Policy>) -> Gateway {
-        let (shutdown, shutdown_asked) = watch::channel(false);
+    pub fn start_with_baseline(config: &Config, baseline: Option<Policy>) -> Gateway {
+        let (shutdown, shutdown_requested) = watch::channel(false);
         let mut gateway = Gateway {
             shutdown,
             snapshots: Vec::new(),
@@ -65,7 +65,7 @@
         for instance in 0..config.instances {
             let name = front_end_name(config, instance);
             let startup = FrontEndStartup::new(config, &name, baseline, &mut gateway.tasks);
-            let snapshots = startup.start(shutdown_asked.clone());
+            let snapshots = startup.start(shutdown_requested.clone());
             gateway.snapshots.push(snapshots);
         }
         gateway
--- a/crates/pipithub-gateway/src/startup.rs
+++ b/crates/pipithub-gateway/src/startup.rs
@@ -50,14 +50,14 @@
     /// Starts all tasks, and returns the receiver of the front end's snapshots.
     pub(crate) fn start(
         mut self,
-        shutdown_asked: watch::Receiver<bool>,
+        shutdown_requested: watch::Receiver<bool>,
     ) -> watch::Receiver<Snapshot> {
         self.start_directories();
         self.start_consumers();
         self.start_timers();
         self.start_endpoint_list();
         let snapshots = self.front_end.snapshots();
-        self.tasks.spawn(self.front_end.run(shutdown_asked));
+        self.tasks.spawn(self.front_end.run(shutdown_requested));
         snapshots
     }
 
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -25,7 +25,7 @@
 struct AdmittedCall {
     tenant: TenantId,
     user: Option<User>,
-    since: Time,
+    admitted_at: Time,
 }
 
 /// The names of a call's tenant and user, for logs. Both are `None` for a call that was not admitted.
@@ -193,7 +193,7 @@
         let completion = Completion {
             tenant: call.tenant,
             result,
-            service_time: now.saturating_sub(call.since),
+            service_time: now.saturating_sub(call.admitted_at),
         };
         self.admission
             .completed(now, &self.roster.load(), completion, &mut self.outputs);
@@ -252,7 +252,7 @@
         let expired: Vec<Ticket> = self
             .admitted_calls
             .iter()
-            .filter(|(_, call)| now.saturating_sub(call.since) > lifetime)
+            .filter(|(_, call)| now.saturating_sub(call.admitted_at) > lifetime)
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in expired {
@@ -296,7 +296,7 @@
         let admitted_call = AdmittedCall {
             tenant: admitted.tenant,
             user: call.user.clone(),
-            since: now,
+            admitted_at: now,
         };
         self.admitted_calls.insert(trigger.ticket, admitted_call);
         Input::Trigger(trigger)
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -66,7 +66,7 @@
     Config::parse("test", &text).unwrap_or_else(|faults| panic!("{:?}", faults.lines()))
 }
 
-fn fixed(workers: &[SocketAddr]) -> String {
+fn fixed_workers(workers: &[SocketAddr]) -> String {
     workers
         .iter()
         .map(|address| format!("worker \"{address}\"; "))
@@ -173,7 +173,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn empty_and_16_mib_bodies_are_returned_unchanged() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
-    let _gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
+    let _gateway = Gateway::start(&config(
+        broker.address(),
+        &fixed_workers(&[worker.address()]),
+        "",
+    ));
     let mut client = client(broker.address());
     for size in [0, 1, 16 << 20] {
         let body: Vec<u8> = (0..size).map(|index: usize| (index % 251) as u8).collect();
@@ -255,7 +259,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn each_call_gets_one_answer_across_dropped_broker_connections() {
     let (broker, (worker, ran)) = (broker().await, worker(20).await);
-    let _gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
+    let _gateway = Gateway::start(&config(
+        broker.address(),
+        &fixed_workers(&[worker.address()]),
+        "",
+    ));
     let client = client(broker.address());
     for number in 0..200 {
         let class = if number % 2 == 0 { "view" } else { "assign" };
@@ -307,17 +315,21 @@
         Damage::HalfClose,
         Damage::Delay(Duration::from_millis(30)),
     ] {
-        lose_no_call_with(damage).await;
+        expect_no_lost_call(damage).await;
     }
 }
 
 /// Sends calls while a proxy damages the gateway's connection to the broker, and expects that each is answered once.
-async fn lose_no_call_with(damage: Damage) {
+async fn expect_no_lost_call(damage: Damage) {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
     let proxy = Proxy::start(loopback(), broker.address().to_string())
         .await
         .expect("a proxy");
-    let _gateway = Gateway::start(&config(proxy.address(), &fixed(&[worker.address()]), ""));
+    let _gateway = Gateway::start(&config(
+        proxy.address(),
+        &fixed_workers(&[worker.address()]),
+        "",
+    ));
     let mut client = client(broker.address());
     send(&client, call("before", "view", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
@@ -371,7 +383,7 @@
             .await
             .expect("a proxy"),
     ];
-    let workers = fixed(&proxies.each_ref().map(Proxy::address));
+    let workers = fixed_workers(&proxies.each_ref().map(Proxy::address));
     let _gateway = Gateway::start(&config(broker.address(), &workers, ""));
     let mut client = client(broker.address());
     send(&client, call("before", "view", b"x".to_vec())).await;
@@ -391,7 +403,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn non_idempotent_call_is_retried_after_a_refused_connection() {
     let (broker, (dead, _), (alive, ran)) = (broker().await, worker(1).await, worker(1).await);
-    let workers = fixed(&[dead.address(), alive.address()]);
+    let workers = fixed_workers(&[dead.address(), alive.address()]);
     dead.kill().await;
     let _gateway = Gateway::start(&config(broker.address(), &workers, ""));
     let mut client = client(broker.address());
@@ -408,7 +420,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_answers_accepted_calls() {
     let (broker, (worker, _)) = (broker().await, worker(150).await);
-    let gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
+    let gateway = Gateway::start(&config(
+        broker.address(),
+        &fixed_workers(&[worker.address()]),
+        "",
+    ));
     let mut client = client(broker.address());
     for number in 0..8 {
         send(&client, call(&format!("{number}"), "assign", b"x".to_vec())).await;
@@ -425,7 +441,11 @@
         verdicts_at(&broker).len()
     );
     // Calls that it had not accepted are redelivered to the next gateway.
-    let _next = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
+    let _next = Gateway::start(&config(
+        broker.address(),
+        &fixed_workers(&[worker.address()]),
+        "",
+    ));
     for _ in 0..8 {
         answer(&mut client).await;
     }
@@ -443,7 +463,7 @@
         "cron \"tick\" { schedule \"* * * * * *\"; class \"assign\"; function \"g\"; body \"{}\" }";
     let _gateway = Gateway::start(&config(
         broker.address(),
-        &fixed(&[worker.address()]),
+        &fixed_workers(&[worker.address()]),
         timer,
     ));
     wait_until("two occurrences have run, each once", || {
--- a/crates/pipithub-gateway/tests/tenants/identity.rs
+++ b/crates/pipithub-gateway/tests/tenants/identity.rs
@@ -6,28 +6,32 @@
 use pipithub_gateway::Gateway;
 use pipithub_scenario::client::{Publish, QueueClient};
 
-use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
+use crate::rig::{LONG_IDENTITY_WAIT, TestBed, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_run_only_for_the_tenant_of_their_user_over_each_kind_of_tls() {
     for (tls, ldaps) in [("none", false), ("start", false), ("ldaps", true)] {
-        let stage = Stage::new(tls).await;
+        let test_bed = TestBed::new(tls).await;
         let server = directory(
             &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
             ldaps,
         )
         .await;
-        let config = stage.config(
+        let config = test_bed.config(
             &[&server],
             &format!("tls \"{tls}\"; mark-attribute \"contextCSN\""),
-            PATIENT_ADMISSION,
+            LONG_IDENTITY_WAIT,
         );
         let _gateway = Gateway::start(&config);
-        let mut client = stage.client();
+        let mut client = test_bed.client();
         expect_answers_of_signed_calls(&mut client, tls).await;
         expect_unproven_users_are_rejected(&mut client, tls).await;
-        let ran: Vec<String> = stage.sent().into_iter().map(|run| run.request).collect();
-        assert_eq!(ran, ["1", "3", "4"], "{tls}");
+        let received: Vec<String> = test_bed
+            .received_calls()
+            .into_iter()
+            .map(|call| call.request)
+            .collect();
+        assert_eq!(received, ["1", "3", "4"], "{tls}");
     }
 }
 
@@ -107,13 +111,13 @@
 /// A broker that checks `user_id` vouches for the users of its connections. A user's name in a header does not count.
 #[tokio::test(flavor = "multi_thread")]
 async fn user_id_of_the_broker_identifies_the_user() {
-    let stage = Stage::new("broker").await;
+    let test_bed = TestBed::new("broker").await;
     let server = directory(
         &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
         false,
     )
     .await;
-    let mut config = stage.config(&[&server], "tls \"none\"", PATIENT_ADMISSION);
+    let mut config = test_bed.config(&[&server], "tls \"none\"", LONG_IDENTITY_WAIT);
     config.amqp[0].queues[0].identity = pipithub_consumer::identity::Rule::Broker;
     let _gateway = Gateway::start(&config);
     let login = Login {
@@ -121,7 +125,7 @@
         password: "m".into(),
         ..Login::default()
     };
-    let mut client = QueueClient::start(&stage.broker.address().to_string(), login, "answers");
+    let mut client = QueueClient::start(&test_bed.broker.address().to_string(), login, "answers");
     let by = |id: &str, user: Option<&str>, function: &str| Publish {
         signed: None,
         user_id: user.map(str::to_string),
@@ -162,24 +166,29 @@
             _ => assert!(tokio::time::Instant::now() < deadline, "no answer"),
         }
     }
-    assert!(stage.sent().iter().all(|run| run.request != "4"));
+    assert!(
+        test_bed
+            .received_calls()
+            .iter()
+            .all(|call| call.request != "4")
+    );
 }
 
 /// A server whose certificate the settings do not trust is not searched, and its users are not admitted.
 #[tokio::test(flavor = "multi_thread")]
 async fn server_with_an_untrusted_certificate_is_not_searched() {
-    let stage = Stage::new("authority").await;
+    let test_bed = TestBed::new("authority").await;
     let server = directory(&tree(&[("mai".into(), "north")]), true).await;
     let other = directory(&tree(&[("mai".into(), "south")]), true).await;
-    let mut config = stage.config(&[&server], "tls \"ldaps\"", "");
+    let mut config = test_bed.config(&[&server], "tls \"ldaps\"", "");
     // The settings trust the authority of the first server, but have the address of the second one.
     config.tenants.as_mut().expect("tenants").directories[0].servers[0].address =
         other.address().to_string();
     let _gateway = Gateway::start(&config);
-    let mut client = stage.client();
+    let mut client = test_bed.client();
     assert_eq!(
         answer_to(&mut client, call("1", "mai", "north-map")).await,
         verdict("refused", "user-unknown")
     );
-    assert_eq!((other.searches(), stage.sent().len()), (0, 0));
+    assert_eq!((other.searches(), test_bed.received_calls().len()), (0, 0));
 }
--- a/crates/pipithub-gateway/tests/tenants/main.rs
+++ b/crates/pipithub-gateway/tests/tenants/main.rs
@@ -3,6 +3,6 @@
 
 mod identity;
 mod migrations;
-mod random_days;
+mod random_migrations;
 mod rig;
 mod snapshots;
--- a/crates/pipithub-gateway/tests/tenants/migrations.rs
+++ b/crates/pipithub-gateway/tests/tenants/migrations.rs
@@ -4,26 +4,26 @@
 
 use pipithub_gateway::Gateway;
 
-use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
+use crate::rig::{LONG_IDENTITY_WAIT, TestBed, answer_to, call, directory, tree, verdict};
 
 const MIGRATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A followed directory reports a migration as it happens, so that the next calls belong to the new tenant.
 #[tokio::test(flavor = "multi_thread")]
 async fn followed_directory_reports_migrations_and_deletions() {
-    let stage = Stage::new("follow").await;
+    let test_bed = TestBed::new("follow").await;
     let server = directory(
         &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
         false,
     )
     .await;
-    let config = stage.config(
+    let config = test_bed.config(
         &[&server],
         "tls \"none\"; follow #true; mark-attribute \"contextCSN\"",
-        PATIENT_ADMISSION,
+        LONG_IDENTITY_WAIT,
     );
     let _gateway = Gateway::start(&config);
-    let mut client = stage.client();
+    let mut client = test_bed.client();
     assert_eq!(
         answer_to(&mut client, call("1", "mai", "north-map")).await,
         verdict("served", "answered")
@@ -66,11 +66,11 @@
 /// A poll for changes reports a migration long before the user's record would be refreshed.
 #[tokio::test(flavor = "multi_thread")]
 async fn polled_directory_reports_migrations() {
-    let stage = Stage::new("poll").await;
+    let test_bed = TestBed::new("poll").await;
     let server = directory(&tree(&[("mai".into(), "north")]), false).await;
-    let directory = "tls \"none\"; poll \"1s\"; fresh \"10m\"; mark-attribute \"contextCSN\"";
-    let _gateway = Gateway::start(&stage.config(&[&server], directory, PATIENT_ADMISSION));
-    let mut client = stage.client();
+    let settings = "tls \"none\"; poll \"1s\"; fresh \"10m\"; mark-attribute \"contextCSN\"";
+    let _gateway = Gateway::start(&test_bed.config(&[&server], settings, LONG_IDENTITY_WAIT));
+    let mut client = test_bed.client();
     assert_eq!(
         answer_to(&mut client, call("1", "mai", "north-map")).await,
         verdict("served", "answered")
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -45,26 +45,26 @@
 
 /// Calls wait for their user's look-up for as long as it may take on a busy machine: by default they would be rejected
 /// after 40 ms, and what these tests are about is who the user is, not how soon that is known.
-pub(crate) const PATIENT_ADMISSION: &str = "admission { identity-wait \"3s\" }";
+pub(crate) const LONG_IDENTITY_WAIT: &str = "admission { identity-wait \"3s\" }";
 
 /// A call that reached the worker.
-pub(crate) struct SentCall {
+pub(crate) struct ReceivedCall {
     /// Unix time in nanoseconds.
-    pub(crate) at: u64,
+    pub(crate) at_ns: u64,
     pub(crate) request: String,
     pub(crate) function: String,
 }
 
 /// A broker and a worker, and a folder for files.
-pub(crate) struct Stage {
+pub(crate) struct TestBed {
     pub(crate) broker: BrokerServer,
     worker_server: WorkerServer,
-    seen: Recorder,
+    worker_recorder: Recorder,
     pub(crate) folder: std::path::PathBuf,
 }
 
-impl Stage {
-    pub(crate) async fn new(name: &str) -> Stage {
+impl TestBed {
+    pub(crate) async fn new(name: &str) -> TestBed {
         let queues = vec![("calls".to_string(), FieldTable::new())];
         let settings = BrokerSettings {
             queues,
@@ -75,7 +75,7 @@
         let broker = BrokerServer::start(loopback(), settings)
             .await
             .expect("a broker");
-        let seen = Recorder::memory();
+        let worker_recorder = Recorder::memory();
         let settings = WorkerSettings {
             cores: 8.0,
             run: 5_000_000,
@@ -83,16 +83,16 @@
             initial_weight: 1.0,
             ..WorkerSettings::default()
         };
-        let worker = WorkerServer::start(loopback(), settings, None, seen.clone())
+        let worker = WorkerServer::start(loopback(), settings, None, worker_recorder.clone())
             .await
             .expect("a worker");
         let folder =
             std::env::temp_dir().join(format!("pipithub-tenants-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Stage {
+        TestBed {
             broker,
             worker_server: worker,
-            seen,
+            worker_recorder,
             folder,
         }
     }
@@ -138,22 +138,26 @@
     }
 
     /// Calls that reached the worker.
-    pub(crate) fn sent(&self) -> Vec<SentCall> {
+    pub(crate) fn received_calls(&self) -> Vec<ReceivedCall> {
         let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
                 request, function, ..
-            } => Some(SentCall {
-                at: r.time_ns,
+            } => Some(ReceivedCall {
+                at_ns: r.time_ns,
                 request,
                 function,
             }),
             _ => None,
         };
-        self.seen.records().into_iter().filter_map(call).collect()
+        self.worker_recorder
+            .records()
+            .into_iter()
+            .filter_map(call)
+            .collect()
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestBed {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/pipithub-gateway/tests/tenants/snapshots.rs
+++ b/crates/pipithub-gateway/tests/tenants/snapshots.rs
@@ -4,19 +4,19 @@
 
 use pipithub_gateway::Gateway;
 
-use crate::rig::{Stage, answer_to, call, directory, tree, verdict};
+use crate::rig::{TestBed, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn restart_during_a_directory_outage_serves_users_of_a_valid_snapshot_only() {
-    let stage = Stage::new("restart").await;
+    let test_bed = TestBed::new("restart").await;
     let server = directory(&tree(&[("mai".into(), "north")]), false).await;
-    let file = stage.folder.join("roster");
+    let file = test_bed.folder.join("roster");
     let admission = format!(
         "admission {{ identity-wait \"3s\"; snapshot {file:?} every=\"1s\" {{ key text=\"another key of sixteen bytes\" }} }}"
     );
-    let config = stage.config(&[&server], "tls \"none\"", &admission);
+    let config = test_bed.config(&[&server], "tls \"none\"", &admission);
     let gateway = Gateway::start(&config);
-    let mut client = stage.client();
+    let mut client = test_bed.client();
     assert_eq!(
         answer_to(&mut client, call("1", "mai", "north-map")).await,
         verdict("served", "answered")
--- a/crates/pipithub-settings/src/route.rs
+++ b/crates/pipithub-settings/src/route.rs
@@ -20,10 +20,10 @@
         class: read_class_reference(node, context.classes),
         function: node.text("function").map(Into::into),
         memory_mb: node.number("memory-mb", 0.0, 0.0..=1e9),
-        lanes: node.integer("lanes", 1, 1..=65_536) as u32,
+        replica_concurrency: node.integer("lanes", 1, 1..=65_536) as u32,
         load_time: node.optional_duration("load-time", MS..=HOUR),
-        expected: node.optional_duration("expected", MS / 1_000..=HOUR),
-        budget: node.optional_duration("budget", MS..=HOUR),
+        expected_work: node.optional_duration("expected", MS / 1_000..=HOUR),
+        client_timeout: node.optional_duration("budget", MS..=HOUR),
         tenant: None,
     }
 }
--- a/crates/pipithub/src/serve.rs
+++ b/crates/pipithub/src/serve.rs
@@ -29,7 +29,7 @@
     logging::init(config.log.json, &config.log.level);
     let membership = membership::start(&config).await?;
     let policy = arguments.baseline.map(Baseline::policy);
-    let gateway = Gateway::start_deciding_by(&config, policy);
+    let gateway = Gateway::start_with_baseline(&config, policy);
     shutdown::requested().await?;
     gateway.stop().await;
     // The membership ends last, so that other members see this front end until it has answered its last call.
