--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -44,9 +44,9 @@
 
     /// Records that an attempt failed or a connection was lost, and returns how long to wait before the next attempt.
     ///
-    /// Half of the backoff is random, so that the clients of a broker do not reconnect at the same moments. A
-    /// connection that is lost soon after it came up counts as a failure, so that a faulty broker is not called without
-    /// a pause.
+    /// Half of the backoff is random, so that the clients of a server do not reconnect at the same moments. A
+    /// connection that is lost soon after it came up does not reset the backoff, so that a faulty server is not
+    /// contacted again without a pause.
     pub fn delay_after_failure(&mut self, now: Time) -> Time {
         if self
             .connected_since
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -1,7 +1,7 @@
 //! The state machine that consumes one queue at one broker.
 //!
-//! This module has its transport, timers and shutdown. `events` handles what the broker sends, `delivery_limit` sets
-//! the limit on deliveries in flight, and `commit` publishes answers and acknowledges their messages.
+//! This module handles the transport, timers and shutdown. `events` handles what the broker sends, `delivery_limit`
+//! sets the limit on deliveries in flight, and `commit` publishes answers and acknowledges their messages.
 
 mod commit;
 mod delivery_limit;
@@ -70,7 +70,7 @@
 }
 
 impl Consumer {
-    /// Creates a consumer that wants a transport at once. The seed is for the jitter of its backoff.
+    /// Creates a consumer that requests a transport at once. The seed determines the jitter of its backoff.
     pub fn new(settings: ConsumerSettings, now: Time, seed: u64) -> Self {
         let BackoffRange { initial, max } = settings.reconnect_backoff;
         Consumer {
@@ -113,7 +113,7 @@
         self.notices.pop_front()
     }
 
-    /// Handles that a transport was opened. It is ignored if the consumer has one already or is stopped.
+    /// Handles the opening of a transport, which is ignored if the consumer has one already or is stopped.
     pub fn connected(&mut self, now: Time) {
         if matches!(self.phase, Phase::Idle(_)) {
             self.now = now;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Handles that a transport could not be opened or was lost, for `reason`.
+    /// Handles the failure to open a transport, or the loss of the open one, for `reason`.
     pub fn transport_lost(&mut self, now: Time, reason: &str) {
         self.now = now;
         match self.phase {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Voids all tickets. The broker delivers their messages again, unless their transaction was committed. Another
-    /// transport is wanted after the backoff.
+    /// Invalidates all tickets. The broker delivers their messages again, unless their transaction was committed. A
+    /// consumer that is not shutting down requests another transport after the backoff.
     fn invalidate_tickets(&mut self, reason: &str) {
         self.in_flight.clear();
         self.pending.clear();
@@ -200,7 +200,7 @@
         output
     }
 
-    /// Whether the connection is closed, so that the transport may be closed too.
+    /// Whether the AMQP connection is closed or there is none, so that the transport may be closed too.
     pub fn is_connection_closed(&self) -> bool {
         self.endpoint.as_ref().is_none_or(Endpoint::is_closed)
     }
@@ -211,13 +211,13 @@
         self.apply_capacity();
     }
 
-    /// Publishes the final answer of a trigger and settles its message. A void ticket is ignored.
+    /// Publishes the final answer to a trigger and settles its message. An invalid ticket is ignored.
     pub fn answer(&mut self, now: Time, ticket: Ticket, reply: Arc<Reply>) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Reply(reply));
     }
 
-    /// Settles the message of a trigger without an answer. A void ticket is ignored.
+    /// Settles the message of a trigger without an answer. An invalid ticket is ignored.
     pub fn acknowledge(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Nothing);
--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Publishes a copy of an unreadable message as a dead letter. Returns false if there is no target for it.
+    /// Publishes a copy of an unreadable message as a dead letter. Returns false if dead letters have no target, or if
+    /// the exchange of the target is missing.
     fn publish_dead_letter(
         &mut self,
         channel: u16,
--- a/crates/pipithub-consumer/src/consumer/delivery_limit.rs
+++ b/crates/pipithub-consumer/src/consumer/delivery_limit.rs
@@ -1,4 +1,5 @@
-//! The limit on deliveries in flight: those that are, and as many more as the engine can take.
+//! The limit on deliveries in flight: their present number and as many more as the engine can take, at most the
+//! prefetch count.
 
 use pipithub_amqp::{FieldTable, Method, ShortStr};
 use pipithub_engine::Time;
@@ -7,8 +8,8 @@
 
 /// The minimum time between changes of the limit, because each change costs a round trip.
 pub(super) const MIN_QOS_INTERVAL: Time = 50 * MS;
-/// A paused consumer resumes once this part of its prefetch count is free. Otherwise each message could start and
-/// cancel a consumer.
+/// A paused consumer resumes once the engine can take its prefetch count divided by this. With less, each message could
+/// start and cancel a consumer.
 const RESUME_DIVISOR: usize = 4;
 
 /// The limit that the broker was sent last, and when.
@@ -87,7 +88,7 @@
         let limit = self.delivery_limit();
         self.phase = Phase::SettingUp { channel };
         self.send_limit(limit);
-        // Each consumer gets a new tag, because a delivery for the last one may still be on its way.
+        // Each consumer gets a new tag, because a delivery for the previous one may still be on its way.
         self.tag_count += 1;
         let tag = format!("{}-{}", self.settings.front_end, self.tag_count);
         self.tag = ShortStr::truncated(&tag);
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -32,7 +32,7 @@
                     self.begin_commit();
                 }
                 Event::ChannelClosed { fault, .. } => self.handle_channel_closed(fault),
-                // While stopping, the caller writes what is left and then reports that the transport is gone.
+                // A consumer that has shut down needs no further transport, so the end of its connection is ignored.
                 Event::Closed { fault, .. } if self.phase != Phase::Stopped => {
                     self.invalidate_tickets(&fault.to_string());
                 }
@@ -86,7 +86,8 @@
                 self.handle_consuming(channel);
             }
             (Method::BasicCancel { consumer_tag, .. }, _) if consumer_tag == self.tag => {
-                // The queue was deleted or its node lost. Deliveries in flight stay valid, and the queue may come back.
+                // The queue was deleted, or its broker node was lost. Deliveries in flight stay valid, and the queue may
+                // come back.
                 self.notices.push_back(Notice::Cancelled);
                 let resume_at = Some(self.now + self.backoff.delay_after_failure(self.now));
                 self.phase = Phase::Paused { channel, resume_at };
--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -9,9 +9,9 @@
 pub enum Notice {
     /// A message arrived and was read as a call.
     Trigger(Box<Trigger>),
-    /// The answer to a ticket is safe at the broker, and its message is settled.
+    /// The broker has committed the answer to a ticket, and its message is settled.
     Settled(Ticket),
-    /// The connection was lost, for this reason; all pending tickets are void.
+    /// The connection was lost, for this reason; all pending tickets are invalid.
     Lost(String),
     /// The broker delivers messages from now on.
     Consuming,
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -36,7 +36,7 @@
 pub struct Keys {
     /// The keys by their ids.
     pub keys: BTreeMap<String, Vec<u8>>,
-    /// The maximum age of a signature, in nanoseconds; a message signed before that is rejected.
+    /// The maximum age of a signature, in nanoseconds; a message with an older one is rejected.
     pub max_age: Time,
 }
 
@@ -62,7 +62,7 @@
     Signed(Arc<Keys>),
 }
 
-/// Checks which user messages belong to, and remembers signed messages in order to recognize replays.
+/// Verifies which user messages belong to, and remembers signed messages in order to recognize replays.
 #[derive(Clone, Debug, Default)]
 pub struct IdentityVerifier {
     rule: Rule,
@@ -128,7 +128,7 @@
 }
 
 impl IdentityVerifier {
-    /// Creates a check by a rule.
+    /// Creates a verifier that applies a rule.
     pub fn new(rule: Rule) -> Self {
         IdentityVerifier {
             rule,
@@ -136,14 +136,14 @@
         }
     }
 
-    /// The user of a message, in the form in which directories compare names; `None` under [`Rule::None`].
+    /// Returns the user of a message, in the form in which directories compare names; `None` under [`Rule::None`].
     ///
-    /// `redelivered` is whether the broker marks the delivery as a repeated one: only then may a signed message arrive
+    /// `redelivered` is whether the broker marks the delivery as a redelivery: only then may a signed message arrive
     /// again. `now` is monotonic time, and `wall_ms` is the wall time then, in Unix milliseconds.
     ///
     /// # Errors
     ///
-    /// Fails if the message does not prove its user as the rule demands, or names one that the rule does not accept.
+    /// Fails if the message does not prove its user as the rule requires, or names one that the rule does not accept.
     pub fn verify_user(
         &mut self,
         content: &Content,
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -1,4 +1,4 @@
-//! A wall clock that does not follow steps back, so that a step back makes no message look younger.
+//! The wall time by a clock whose steps back are ignored for a day, so that a step back makes no message look younger.
 
 use pipithub_engine::Time;
 
@@ -6,8 +6,8 @@
 /// A step back is not followed for this long. After that the clock is assumed to have been ahead before.
 const STEP_BACK_WINDOW: Time = 24 * 3_600_000 * NANOS_PER_MS;
 
-/// The wall time by the clock reading that was furthest ahead. Steps forward are followed at once, steps back after a
-/// day.
+/// The wall time by the clock reading that was furthest ahead of monotonic time. Steps forward are followed at once,
+/// steps back after a day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatestWallTime {
     greatest: Option<Lead>,
--- a/crates/pipithub-consumer/src/lib.rs
+++ b/crates/pipithub-consumer/src/lib.rs
@@ -1,9 +1,9 @@
-//! AMQP triggers without I/O.
+//! AMQP consumers without I/O, as sources of triggers for the engine.
 //!
-//! A [`Consumer`] consumes one queue at one broker: it logs in, turns deliveries into triggers ([`message`]) and
-//! publishes the final answer of each. The answer and the acknowledgement of its message are committed in one
-//! transaction, so that neither takes effect without the other; `docs/amqp.md` says why publisher confirms are not
-//! used. The caller moves bytes and time, and the engine decides what becomes of each trigger.
+//! A [`Consumer`] consumes one queue at one broker: it logs in, converts deliveries to triggers ([`message`]) and
+//! publishes the final answer to each. The answer and the acknowledgement of its message are committed in one
+//! transaction, so that neither takes effect without the other; `docs/amqp.md` explains why publisher confirms are not
+//! used. The caller transfers the bytes and supplies the time, and the engine decides how each trigger is handled.
 
 pub mod backoff;
 mod consumer;
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -8,11 +8,11 @@
 //! | `pipithub-function` | the function or model to run |
 //! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | properties of the function |
 //! | `pipithub-key` | the key by which workers deduplicate the call |
-//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of both counts |
+//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of the two applies |
 //! | `timestamp`, `pipithub-sent-ms` | when the message was sent, in Unix seconds or Unix milliseconds |
 //!
-//! The route of a queue may give defaults for all of them but the first two lines and the last two. A header takes
-//! precedence over the route.
+//! The route of a queue may give defaults for the class, the function with its properties, and the client timeout. A
+//! header takes precedence over the route.
 
 mod error;
 
@@ -25,7 +25,7 @@
 pub use self::error::MessageError;
 
 const MS: Time = 1_000_000;
-/// Timeouts and ages are capped at a day.
+/// The cap on all durations that are read or computed from a message: a day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 /// If the clock of a sender is ahead by more than this, the age of its messages counts as unknown.
 const MAX_SKEW_MS: u64 = 1_000;
@@ -69,7 +69,7 @@
 pub struct ParsedMessage {
     /// The call that the message asks for.
     pub call: Call,
-    /// Identifies the message across its deliveries; `None` if it has nothing to identify it.
+    /// Identifies the message across its deliveries; `None` if no property identifies it.
     pub identity: Option<Arc<str>>,
     /// The number of earlier deliveries; 0 if the broker does not count them.
     pub deliveries: u32,
@@ -117,10 +117,10 @@
 /// When a message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalTime {
-    /// The wall time, in Unix milliseconds. What is left of the client timeout is computed from it.
+    /// The wall time, in Unix milliseconds. The remaining client timeout is computed from it.
     pub wall_ms: u64,
-    /// The wall time according to [`crate::LatestWallTime`], in Unix milliseconds. The age of a message is computed from
-    /// it, so that a step back of the clock makes no message look younger.
+    /// The wall time according to [`crate::LatestWallTime`], in Unix milliseconds. The age of a message is computed
+    /// from it, so that a step back of the clock makes no message look younger.
     pub latest_wall_ms: u64,
 }
 
@@ -130,7 +130,8 @@
         self.wall_ms.saturating_sub(sent_ms).min(MAX_DURATION_MS) * MS
     }
 
-    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that lies in the future.
+    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that is more than [`MAX_SKEW_MS`]
+    /// in the future.
     fn max_age(&self, sent_ms: u64) -> Option<Time> {
         let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
         is_known.then(|| {
@@ -244,7 +245,7 @@
     }
 }
 
-/// The client timeout, which began when the message was sent.
+/// The client timeout, counted from when the message was sent.
 fn client_timeout(
     properties: &Properties,
     headers: Headers<'_>,
@@ -296,7 +297,7 @@
     properties.message_id.as_deref().filter(|id| !id.is_empty())
 }
 
-/// Identifies the message across its deliveries; `None` if it has nothing to identify it.
+/// Identifies the message across its deliveries; `None` if no property identifies it.
 fn identity(properties: &Properties, queue: &str) -> Option<Arc<str>> {
     if let Some(id) = message_id(properties) {
         return Some(format!("{queue}\0{id}").into());
--- a/crates/pipithub-consumer/src/message/error.rs
+++ b/crates/pipithub-consumer/src/message/error.rs
@@ -1,8 +1,8 @@
-//! Why a message is not taken as a call.
+//! The reasons why a message is not accepted as a call.
 
 use super::MAX_FUNCTION_LEN;
 
-/// A message that cannot be read as a call, or does not prove whose it is. The call never ran.
+/// A message that cannot be read as a call, or does not prove which user it belongs to. The call never ran.
 ///
 /// The texts are published: an answer and a dead letter carry them in header `pipithub-reason`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,7 +34,7 @@
     /// The name of the function is empty or too long.
     #[error("header pipithub-function has {bytes} bytes, 1 to {MAX_FUNCTION_LEN} are taken")]
     InvalidFunction {
-        /// The length of the name.
+        /// The length of the name, in bytes.
         bytes: usize,
     },
     /// Property `expiration` holds something other than milliseconds.
@@ -46,7 +46,7 @@
     /// A call of this class needs an idempotency key, and the message has none.
     #[error("no key: a call of this class needs header pipithub-key or a message_id")]
     MissingKey,
-    /// The message names a user, but its queue proves no users.
+    /// The message names a user, but its queue has no rule by which messages prove their users.
     #[error("this queue takes no word on users: header pipithub-user")]
     UserNotAccepted,
     /// The name of the user is too long or has control characters.
@@ -64,7 +64,7 @@
     /// A signed message does not state when it was sent.
     #[error("a signed call needs header pipithub-sent-ms")]
     MissingSendTime,
-    /// The signature is older than keys allow, or its time lies too far in the future.
+    /// The signature is older than the maximum age of the keys, or its time lies too far in the future.
     #[error("the signature is too old, or from the future")]
     SignatureOutOfTime,
     /// A signed message has no id by which a replay could be recognized.
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -1,10 +1,10 @@
 //! Recognizes signed messages that were accepted before, also across steps of the wall clock.
 //!
-//! The caller checks the signed timestamp of a message against the wall clock. Here durations are monotonic time: an id
-//! is remembered for as long as its message could still be accepted, also after a step back of [`MAX_STEP_BACK`]. An id
-//! may have to be forgotten earlier, because the memory is full or the step was greater. Its message could not be told
-//! from a replay then, so the timestamps of forgotten ids are kept as a few spans, and no message from within them is
-//! accepted as new.
+//! The caller checks the signed timestamp of a message against the wall clock. This module measures durations in
+//! monotonic time: an id is remembered for as long as its message could still be accepted, also after a step back of
+//! [`MAX_STEP_BACK`]. An id may have to be forgotten earlier, because the memory is full or the step back was greater.
+//! A replay could then not be recognized by its id, so the timestamps of forgotten ids are kept as a few spans, and no
+//! message with a timestamp within them is accepted as new.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -14,7 +14,8 @@
 const NANOS_PER_MS: Time = 1_000_000;
 /// The maximum number of ids remembered; each takes about 70 bytes.
 const MAX_REMEMBERED: usize = 500_000;
-/// The maximum step back of the wall clock after which no forgotten message can be accepted again.
+/// Ids are remembered for long enough that a step back of the wall clock by at most this makes no forgotten message
+/// acceptable again.
 const MAX_STEP_BACK: Time = 3_600_000 * NANOS_PER_MS;
 /// The maximum number of spans of timestamps whose ids were forgotten.
 const MAX_SPANS: usize = 8;
@@ -171,7 +172,8 @@
             joins
         });
         if self.0.len() > MAX_SPANS {
-            // Joining the two oldest spans also covers what lies between them, which least likely holds new messages.
+            // The range between the two oldest spans, which joining them covers too, is the least likely to hold the
+            // timestamps of new messages.
             let second = self.0.remove(1);
             self.0[0].last_ms = second.last_ms;
         }
--- a/crates/pipithub-consumer/tests/backoff.rs
+++ b/crates/pipithub-consumer/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! The backoff between attempts to connect.
+//! Tests of the backoff between attempts to connect.
 
 use pipithub_consumer::backoff::Backoff;
 use pipithub_engine::Time;
--- a/crates/pipithub-consumer/tests/identity.rs
+++ b/crates/pipithub-consumer/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Which user a message belongs to: proofs, replays, and steps of the wall clock.
+//! Tests of how messages prove which user they belong to, with replays and steps of the wall clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -179,8 +179,8 @@
         .is_ok()
 }
 
-/// Found by a test: ids were remembered by the wall clock, so that a step forward forgot them, and after the step back
-/// replays were accepted.
+/// Guards against ids that are remembered by the wall clock: a step forward would expire them, and after the step back
+/// replays would be accepted.
 #[test]
 fn replay_is_rejected_after_steps_of_the_wall_clock() {
     for offset_ms in [1_000, 40_000, 95_000, HOUR_MS] {
@@ -191,7 +191,7 @@
             );
             assert!(is_accepted(&mut identity, "m", WALL_MS, &clock));
             clock.step_wall_ms(step_ms);
-            // Another message arrives at the stepped time, which forgets what has expired.
+            // Another message arrives at the stepped time, so that expired ids are forgotten.
             let sent_ms = clock.read().wall_ms;
             assert!(
                 is_accepted(&mut identity, "other", sent_ms, &clock),
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -1,4 +1,4 @@
-//! Reading messages as calls.
+//! Tests of reading messages as calls.
 
 use bytes::Bytes;
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
@@ -75,7 +75,7 @@
         }),
         Some(0)
     );
-    // A clock that runs behind must not lengthen the timeout.
+    // A clock that is behind the sender's must not lengthen the timeout.
     assert_eq!(
         budget(|p| {
             set_header(p, "pipithub-budget-ms", 300i64);
@@ -85,8 +85,8 @@
     );
 }
 
-/// A message sent at .999 s is stamped with the second before. Its client must not lose that second, and it must not
-/// look younger by it.
+/// A timestamp is rounded down to whole seconds, so its message may have been sent up to 999 ms later. The client must
+/// not lose that time, and the message must not look younger by it.
 #[test]
 fn timestamp_in_seconds_neither_shortens_the_timeout_nor_lowers_the_age() {
     let read = read_with(|p| {
@@ -165,7 +165,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// The age of a message sent at this wall time, as it is read by a clock that may have been stepped.
+/// The age of a message sent at this wall time, by a clock that may have been stepped.
 fn age_of(sent_ms: u64, latest: &mut LatestWallTime, clock: &ManualClock) -> Option<Time> {
     let reading = clock.read();
     let latest_wall_ms = latest.observe(reading.now, reading.wall_ms);
--- a/crates/pipithub-consumer/tests/replay.rs
+++ b/crates/pipithub-consumer/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Replays of messages whose ids were forgotten.
+//! Tests of replays of messages whose ids were forgotten.
 
 use pipithub_clock::ManualClock;
 use pipithub_consumer::replay::{ReplayMemory, Tolerance};
@@ -15,7 +15,8 @@
     memory.is_new(id, sent_ms, reading.now, reading.wall_ms, TOLERANCE)
 }
 
-/// Found by a test: an id was forgotten because the memory was full, while its message could still be accepted.
+/// An id may be forgotten because the memory is full, while its message could still be accepted. A replay of the
+/// message must be rejected nevertheless.
 #[test]
 fn message_forgotten_because_the_memory_was_full_is_not_new() {
     let mut clock = ManualClock::new(1, WALL_MS);
@@ -35,7 +36,7 @@
     }
 }
 
-/// With timestamps far apart, spans are joined to stay few, and none of them is lost.
+/// Timestamps that are far apart form more spans than are kept, so that spans are joined. No timestamp may be lost.
 #[test]
 fn messages_forgotten_in_any_sequence_are_not_new() {
     let clock = ManualClock::new(1, WALL_MS);
@@ -65,7 +66,7 @@
     assert!(is_new(&mut memory, "ahead", clock.read().wall_ms, &clock));
     clock.advance(3_700_000 * MS);
     assert!(is_new(&mut memory, "later", clock.read().wall_ms, &clock));
-    // Both are forgotten by now. At the true time, an hour after the start, no message was signed yet.
+    // The first two ids are forgotten by now. At the true time, an hour after the start, no message was signed yet.
     clock.step_wall_ms(-7_200_000);
     assert!(is_new(&mut memory, "between", clock.read().wall_ms, &clock));
     assert!(!is_new(&mut memory, "ahead", WALL_MS + 7_200_000, &clock));
--- a/crates/pipithub-consumer/tests/with_broker/client.rs
+++ b/crates/pipithub-consumer/tests/with_broker/client.rs
@@ -31,11 +31,15 @@
     }
 
     pub(crate) fn open_channel(&mut self) {
-        self.endpoint.open_channel().expect("open");
+        self.endpoint
+            .open_channel()
+            .expect("the connection is open");
     }
 
     pub(crate) fn send(&mut self, method: Method) {
-        self.endpoint.send(CHANNEL, method).expect("open");
+        self.endpoint
+            .send(CHANNEL, method)
+            .expect("the channel is open");
     }
 
     pub(crate) fn consume_answers(&mut self) {
@@ -59,7 +63,7 @@
         };
         self.endpoint
             .send_content(CHANNEL, publish, properties, b"body")
-            .expect("open");
+            .expect("the channel is open");
     }
 
     /// Exchanges the bytes that are ready. Returns whether there were any.
@@ -79,7 +83,9 @@
                     content: Some(content),
                     ..
                 } => self.record_answer(*content),
-                Event::Closed { fault, .. } => panic!("the client's connection: {fault}"),
+                Event::Closed { fault, .. } => {
+                    panic!("the client's connection was closed: {fault}")
+                }
                 _ => {}
             }
         }
--- a/crates/pipithub-consumer/tests/with_broker/front_end.rs
+++ b/crates/pipithub-consumer/tests/with_broker/front_end.rs
@@ -1,4 +1,4 @@
-//! A front end: an engine and its consumer, which the test bed moves.
+//! A front end: an engine and its consumer, driven by the test bed.
 
 use bytes::Bytes;
 use pipithub_amqp::{Login, Tuning};
@@ -18,7 +18,7 @@
 
 const SOURCE: SourceId = SourceId(0);
 
-/// What a front end is started with.
+/// The options with which a front end is started.
 #[derive(Clone, Copy)]
 pub(crate) struct StartOptions {
     pub(crate) number: usize,
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Opens a transport if the consumer wants one, with the next connection id. Returns whether there is one.
+    /// Opens a transport with the next connection id, if the consumer requests one. Returns whether there is a
+    /// transport.
     pub(crate) fn connect(
         &mut self,
         now: Time,
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Exchanges bytes with the broker and lets the engine handle what came of it. Returns whether anything happened.
+    /// Exchanges bytes with the broker and lets the engine handle the resulting notices. Returns whether anything
+    /// happened.
     pub(crate) fn step(&mut self, now: Time, wall_ms: u64, broker: &mut Broker) -> bool {
         let exchanged = self.exchange(now, wall_ms, broker);
         let mut outputs = Vec::new();
--- a/crates/pipithub-consumer/tests/with_broker/main.rs
+++ b/crates/pipithub-consumer/tests/with_broker/main.rs
@@ -52,7 +52,7 @@
         })
         .collect();
     let [(false, Some(first)), (true, Some(again))] = ages[..] else {
-        panic!("delivered twice: {ages:?}")
+        panic!("not one delivery and one redelivery: {ages:?}")
     };
     assert!(
         first < MS && (10 * MS..=3_000 * MS).contains(&again),
@@ -106,7 +106,7 @@
         let Some(Output::Answer { ticket, reply }) =
             out.into_iter().find(|o| matches!(o, Output::Answer { .. }))
         else {
-            panic!("an answer")
+            panic!("the engine gave no answer")
         };
         let now = bed.now;
         bed.front_ends[0].consumer.answer(now, ticket, reply);
@@ -256,7 +256,7 @@
     assert_eq!(bed.answers().len(), 9);
 }
 
-/// Counts attempts that ended; a worker has run their calls, whatever became of the front end.
+/// Counts the attempts that ended, by call. A worker has run their calls, whatever happened to the front end.
 fn count_runs(runs: &mut BTreeMap<String, usize>, finished: Vec<String>) {
     for id in finished {
         *runs.entry(id).or_default() += 1;
--- a/crates/pipithub-consumer/tests/with_broker/test_bed.rs
+++ b/crates/pipithub-consumer/tests/with_broker/test_bed.rs
@@ -78,7 +78,7 @@
         bed
     }
 
-    /// Lets everything happen that needs no time.
+    /// Transfers bytes and handles events until nothing more happens at the present time.
     pub(crate) fn run_until_idle(&mut self) {
         loop {
             let mut progressed = self.client.exchange(self.now, &mut self.broker);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Publishes a call with an idempotent class; `change` makes its message another than the usual one.
+    /// Publishes a call of an idempotent class; `change` alters the properties of its message.
     pub(crate) fn publish(&mut self, id: &str, change: impl FnOnce(&mut Properties)) {
         let headers = FieldTable::new().with("pipithub-class", "safe");
         let mut properties = Properties {
@@ -172,7 +172,7 @@
         front_end.consumer.transport_lost(self.now, "cut");
     }
 
-    /// Kills a front end and starts it again without its memory.
+    /// Kills a front end and starts it again without its state.
     pub(crate) fn kill(&mut self, number: usize) {
         let killed = &mut self.front_ends[number];
         killed.disconnect(self.now, &mut self.broker);
@@ -187,7 +187,7 @@
         &self.client.answers
     }
 
-    /// The verdicts of the answers by message id.
+    /// The verdicts of the answers, by message id.
     pub(crate) fn verdicts(&self) -> Vec<(&str, Vec<&str>)> {
         self.answers()
             .iter()
--- a/crates/pipithub-gateway/src/connect.rs
+++ b/crates/pipithub-gateway/src/connect.rs
@@ -15,10 +15,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectFailure {
     /// The peer refused the connection, or did not accept it before the deadline.
-    #[error("the peer took no connection")]
+    #[error("the peer did not accept the connection")]
     Peer,
-    /// This machine could not make a connection before the deadline. It says nothing about the peer.
-    #[error("this machine could make no connection")]
+    /// This machine could not open a connection before the deadline. The failure says nothing about the peer.
+    #[error("this machine could not open a connection")]
     Local,
 }
 
--- a/crates/pipithub-gateway/src/directory/connection.rs
+++ b/crates/pipithub-gateway/src/directory/connection.rs
@@ -28,10 +28,10 @@
     #[error(transparent)]
     ServerName(#[from] InvalidDnsNameError),
     /// The connection was not established, secured and bound in time.
-    #[error("not up in time")]
+    #[error("the connection was not established in time")]
     ConnectTimeout,
     /// The server closed the connection.
-    #[error("the server ended the connection")]
+    #[error("the server closed the connection")]
     Closed,
     /// The LDAP client closed the connection, for this reason: a failed bind, or a violation of the protocol.
     #[error("{0}")]
@@ -145,7 +145,7 @@
     Ok(Box::new(tls.connect(name, plain).await?))
 }
 
-/// Requests TLS by the extended operation `StartTLS` (RFC 4511, 4.14). After it the TLS handshake follows, and then a new client
+/// Requests TLS by the extended operation `StartTLS` (RFC 4511, 4.14). The TLS handshake follows, and then a new client
 /// takes over the connection.
 async fn start_tls(stream: &mut TcpStream) -> Result<(), ConnectionError> {
     let mut client = Client::new(ClientSettings {
--- a/crates/pipithub-gateway/src/directory/runtime.rs
+++ b/crates/pipithub-gateway/src/directory/runtime.rs
@@ -20,7 +20,7 @@
 
 /// The maximum number of inputs that are taken from the queue at once.
 const MAX_INPUT_BATCH: usize = 256;
-/// How long inputs are handled at most before their results are published.
+/// The maximum time for which inputs are handled before their results are published.
 const MAX_TURN: Duration = Duration::from_millis(20);
 
 /// Identifies a server by its directory's index in the settings and its own index in that directory.
@@ -112,7 +112,7 @@
                 }
             }
             self.handle_inputs(&mut batch);
-            // Whoever handles an event must find its results in the roster, so the roster is published first.
+            // The handler of an event must find its results in the roster, so the roster is published first.
             self.publisher.publish(self.core.roster());
             if self.execute_outputs().await.is_err() {
                 return;
@@ -171,8 +171,9 @@
         tasks.spawn(link.run(receiver, self.inputs_sender.clone()));
     }
 
-    /// Passes inputs to the core until none are queued or the turn has lasted [`MAX_TURN`]. Each published version of the
-    /// roster makes the next changes copy what they touch, so the results of one turn are published together.
+    /// Passes inputs to the core until none are queued or the turn has lasted [`MAX_TURN`]. The first changes after a
+    /// publication have to copy the parts of the roster that they touch, so the results of one turn are published
+    /// together.
     fn handle_inputs(&mut self, batch: &mut Vec<Input>) {
         let reading = self.clock.read();
         self.core
--- a/crates/pipithub-gateway/src/directory/session.rs
+++ b/crates/pipithub-gateway/src/directory/session.rs
@@ -194,8 +194,8 @@
             return Ok(());
         };
         search.abandon(&mut self.connection.client);
-        // Searches are cancelled when they time out. If none of the others is in flight either, the connection may be
-        // half open, and the next search opens a new one.
+        // Searches are cancelled when they time out. If no other search is in flight, the connection may be half open,
+        // so it is closed, and the next search opens a new one.
         if self.searches.is_empty() {
             return Err(SessionEnd::Silent);
         }
--- a/crates/pipithub-gateway/src/directory/snapshots.rs
+++ b/crates/pipithub-gateway/src/directory/snapshots.rs
@@ -17,7 +17,7 @@
     settings.path.with_extension(front_end)
 }
 
-/// Identifies the directories and tenants of the settings. A snapshot of others must not be read.
+/// Identifies the directories and tenants of the settings. A snapshot of others must not be restored.
 fn fingerprint(config: &TenantsConfig) -> [u8; 32] {
     let directories = config.directories.iter().flat_map(|directory| {
         let realms = directory.lookups.realms.iter().map(String::as_str);
--- a/crates/pipithub-gateway/src/endpoint_list/api.rs
+++ b/crates/pipithub-gateway/src/endpoint_list/api.rs
@@ -13,12 +13,12 @@
 
 use super::EndpointListSettings;
 
-/// The duration of a watch, which the server is requested to end after it. The limit detects connections that were cut
-/// silently, which would otherwise leave the list stale for ever.
+/// The duration after which the server is requested to end a watch, in seconds. The limit detects connections that were
+/// cut silently, which would otherwise leave the list stale for ever.
 const WATCH_SECONDS: u64 = 60;
 /// How much longer than requested a watch may last before its connection counts as dead.
 const WATCH_GRACE: Duration = Duration::from_secs(10);
-/// A watch that ends at most this long before its limit counts as ended on request.
+/// A watch that ends at most this long before its deadline counts as ended on request.
 const WATCH_END_TOLERANCE: Duration = Duration::from_secs(15);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -117,7 +117,7 @@
         self.spawn_for_input(async move { Input::LoadPolled(workers.poll_load(worker).await) });
     }
 
-    /// A worker that answers a load poll is in service.
+    /// Checks the health of a worker by a load poll; a worker that answers it is healthy.
     fn check_health(&self, worker: WorkerId) {
         let (workers, clock) = (self.workers.clone(), self.clock);
         self.spawn_for_input(async move {
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The front end on tokio: the I/O around the engine.
 //!
-//! A [`Gateway`] runs one or more front ends; each owns an engine and shares no state with the others. Sources
-//! ([`amqp`], [`cron`]), workers ([`workers`]) and the endpoint list ([`endpoint_list`]) are tasks that report events to
-//! the engine and execute its outputs. All decisions are made by the engine.
+//! A [`Gateway`] runs one or more front ends; each owns an engine and shares no state with the others. Tasks for the
+//! sources ([`amqp`], [`cron`]), the workers ([`workers`]) and the endpoint list ([`endpoint_list`]) report events to the
+//! engine and execute its outputs. All decisions are made by the engine.
 
 mod amqp;
 pub mod connect;
--- a/crates/pipithub-gateway/src/schedule.rs
+++ b/crates/pipithub-gateway/src/schedule.rs
@@ -9,7 +9,7 @@
 //! | is not stepped | each occurrence, once, at its time |
 //! | is stepped forward | each timer with skipped occurrences, once and late, however many occurrences were skipped |
 //! | is stepped back by at most [`MAX_STEP_BACK`] | nothing before the latest wall time seen, so that no occurrence fires twice; then the next occurrence, at its time |
-//! | is stepped back further | the earlier time is taken for a fault of the clock, and the schedule restarts from the present wall time |
+//! | is stepped back further | the clock is assumed to have been wrong before the step, and the schedule restarts from the present wall time |
 //!
 //! A process that was paused past an occurrence behaves as after a step forward. Nothing is stored across a restart:
 //! occurrences that passed while the process was down do not fire.
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Takes the occurrences that are due at a wall time. Each occurrence is returned once, and each timer at most once.
+    /// Takes the occurrences that are due at a wall time. Each occurrence is returned once, and each timer at most once
+    /// in each call.
     pub fn due(&mut self, wall: DateTime<Utc>) -> Vec<Occurrence> {
         let behind = self.covered_until.signed_duration_since(wall);
         if behind > MAX_STEP_BACK {
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -111,7 +111,7 @@
             .await
     }
 
-    /// Polls a worker for its load report. Every response but 200 counts as unanswered.
+    /// Polls a worker for its load report. A response with a status other than 200 counts as unanswered.
     pub(crate) async fn poll_load(&self, worker: WorkerId) -> LoadPollResult {
         let request = pipithub_inference::load_poll(&self.front_end);
         let polled = self
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Makes an exchange without a request body, limited to a duration in nanoseconds.
+    /// Makes an exchange without a request body, limited to `time` nanoseconds.
     async fn exchange_within(
         &self,
         time: Time,
--- a/crates/pipithub-gateway/tests/connect.rs
+++ b/crates/pipithub-gateway/tests/connect.rs
@@ -36,7 +36,10 @@
     };
     let deadline = Instant::now() + Duration::from_secs(1);
     let result = connect_by(deadline, connect).await;
-    assert!(Instant::now() <= deadline, "{errno}: ended in time");
+    assert!(
+        Instant::now() <= deadline,
+        "{errno}: ended after the deadline"
+    );
     Connected {
         result,
         attempts: attempts.get(),
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -53,7 +53,7 @@
     )
 }
 
-/// The settings of a gateway, with the contents of the node `workers` and further nodes.
+/// The settings of a gateway: `workers` is the contents of the node of that name, `more_nodes` are further nodes.
 fn config(broker: SocketAddr, workers: &str, more_nodes: &str) -> Config {
     let text = format!(
         "front-end \"fe\"\n\
@@ -337,14 +337,14 @@
     for number in 0..20 {
         send(&client, call(&format!("{number}"), "view", b"x".to_vec())).await;
     }
-    // The gateway notices damage once bytes have passed, and a silent connection only by its missing heartbeats. If the
-    // damage has met the end of the first call's transaction, the connection is lost before a second delivery, and each
-    // further connection meets the damage too.
-    wait_until("the damage was met", || {
+    // The gateway notices damage when further bytes are transferred, and a silent connection only by its missing
+    // heartbeats. If the damage affects the end of the first call's transaction, the connection is lost before a second
+    // delivery, and each further connection is damaged too.
+    wait_until("the damage has taken effect", || {
         delivered_calls(&broker) >= 2 || proxy.met() >= 3
     })
     .await;
-    // Swallowed bytes never arrive on the same connection, so it ends with the damage.
+    // Swallowed bytes never arrive later on the same connection, so the connection is cut when the damage ends.
     proxy.set(Damage::None);
     if !matches!(damage, Damage::Delay(_)) {
         proxy.cut();
@@ -354,7 +354,8 @@
     })
     .await;
     if damage == Damage::Corrupt {
-        // AMQP has no checksums, so that a flipped bit in a body or an id is not noticed. Only the connection is checked.
+        // AMQP has no checksums, so that a flipped bit in a body or an id is not noticed. The test therefore only
+        // checks that calls are answered again.
         send(&client, call("after", "view", b"x".to_vec())).await;
         wait_until("calls are answered again", || {
             verdicts_at(&broker).contains_key("after")
@@ -437,7 +438,7 @@
     gateway.stop().await;
     assert!(
         verdicts_at(&broker).len() as u64 >= accepted,
-        "{} of {accepted}",
+        "{} answers to {accepted} accepted calls",
         verdicts_at(&broker).len()
     );
     // Calls that it had not accepted are redelivered to the next gateway.
--- a/crates/pipithub-gateway/tests/tenants/identity.rs
+++ b/crates/pipithub-gateway/tests/tenants/identity.rs
@@ -78,7 +78,7 @@
     SignedCase::served("4", "lan", "holidays"),
     SignedCase::rejected("5", "lan", "unnamed", "other-tenant"),
     SignedCase::rejected("6", "nobody", "north-map", "no-tenant"),
-    // A name with the syntax of a filter is an ordinary name, which no entry has.
+    // A name with the syntax of a search filter is searched as an ordinary name, which no entry has.
     SignedCase::rejected("7", "*)(uid=*", "north-map", "no-tenant"),
 ];
 
@@ -108,7 +108,7 @@
     assert_eq!(answer_to(client, unsigned).await.1, "unreadable", "{tls}");
 }
 
-/// A broker that checks `user_id` vouches for the users of its connections. A user's name in a header does not count.
+/// A broker that checks `user_id` guarantees that it is the user of the connection. A name in a header proves nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn user_id_of_the_broker_identifies_the_user() {
     let test_bed = TestBed::new("broker").await;
--- a/crates/pipithub-gateway/tests/tenants/main.rs
+++ b/crates/pipithub-gateway/tests/tenants/main.rs
@@ -1,5 +1,5 @@
 //! Tests of tenants on loopback sockets, with a broker, a worker and directory servers, and with migrations, faults and
-//! stale replicas. They are judged by the calls that the worker has received.
+//! stale replicas. They check which calls the worker has received.
 
 mod identity;
 mod migrations;
--- a/crates/pipithub-gateway/tests/tenants/random_migrations.rs
+++ b/crates/pipithub-gateway/tests/tenants/random_migrations.rs
@@ -1,4 +1,5 @@
-//! Days of moves, faults of directories and stale replicas, from seeds: no call may run for another tenant.
+//! Runs drawn from seeds, with migrations of users, faults of directory servers and a stale replica. No call may run for
+//! a tenant that its user does not belong to.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,30 +15,31 @@
 const TENANTS: [&str; 2] = ["north", "south"];
 const USERS: usize = 40;
 const CALL_INTERVAL: Duration = Duration::from_millis(4);
-/// Seconds between two changes of the directories' faults.
+/// The interval at which the faults of the directory servers change, in seconds.
 const FAULT_INTERVAL: f64 = 0.4;
-/// Seconds until the first fault.
+/// When the first fault begins, in seconds after the start.
 const FIRST_FAULT: f64 = 0.5;
-/// The part of the calls that name a tenant by chance instead of their user's.
+/// The part of the calls that are for a tenant drawn at random instead of their user's tenant.
 const RANDOM_TENANT_SHARE: f64 = 0.1;
-/// The part of the calls after which their user moves.
+/// The part of the calls after which their user is migrated.
 const MIGRATION_SHARE: f64 = 0.02;
-/// Days that run at the same time, at the most.
+/// The maximum number of runs at the same time.
 const MAX_PARALLEL_RUNS: usize = 4;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
-/// Served calls after which a day ends.
+/// The number of served calls after which a run ends.
 const SERVED_CALLS_PER_RUN: usize = 1_700;
-/// Calls after which a day ends all the same: it has shown too little, and the test fails.
+/// The number of calls after which a run ends in any case. With too few served calls it proves too little, and the test
+/// fails.
 const MAX_CALLS_PER_RUN: usize = 10_000;
-/// How long after a migration a call may still be sent to the tenant that was left.
+/// How long after a migration a call for the former tenant may still reach a worker.
 ///
-/// The bound that the settings state is the hard one, 1 s, counted from when a server that can be reached knows: half of
-/// `fresh` until it is heard, after up to 400 ms of a fault and 600 ms of its breaker. Then the way to a worker, on a
-/// machine that is busy.
+/// The hard bound of the settings is 1 s (`stale-most`), counted from when a reachable server knows the change: half of
+/// `fresh` until a state check sees it, after up to 400 ms of a fault and 600 ms of the server's circuit breaker. The
+/// rest is for the way to a worker on a busy machine.
 const MAX_MIGRATION_DELAY: Duration = Duration::from_secs(4);
 
-/// When a directory was changed, in Unix nanoseconds. The thread that changes it may be put off before and after, so the
-/// instant itself lies between two readings of the clock.
+/// When a directory was changed, in Unix nanoseconds. The thread that changes it may be preempted before and after the
+/// change, so the change lies between two readings of the clock.
 #[derive(Clone, Copy)]
 struct ChangeTime {
     earliest: u64,
@@ -50,7 +52,7 @@
         latest: 0,
     };
 
-    /// The time of a change, taken around it.
+    /// Makes a change and reads the clock before and after it.
     fn of(change: impl FnOnce()) -> Self {
         let earliest = wall_ns();
         change();
@@ -61,7 +63,7 @@
     }
 }
 
-/// A user on a tenant, from a change on.
+/// The tenant that a user belongs to, from a change of the directory on.
 struct Membership {
     from: ChangeTime,
     tenant: &'static str,
@@ -70,7 +72,7 @@
 struct User {
     name: String,
     tenant: &'static str,
-    /// By the newest server's entries, in the order of time.
+    /// According to the entries of the newest server, in chronological order.
     memberships: Vec<Membership>,
 }
 
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Whether the user may have been on this tenant at this time, or had left it no longer before than the bound.
+    /// Whether the user may have belonged to this tenant at `at` Unix nanoseconds, or may have left it at most
+    /// [`MAX_MIGRATION_DELAY`] before.
     fn may_have_belonged_to(&self, tenant: &str, at: u64) -> bool {
         let bound = MAX_MIGRATION_DELAY.as_nanos() as u64;
         self.memberships
@@ -104,7 +107,7 @@
             })
     }
 
-    /// Moves the user to the other tenant; `migrate` is handed their name in the directory and that tenant.
+    /// Migrates the user to the other tenant; `migrate` gets the distinguished name of the user and that tenant.
     fn migrate(&mut self, migrate: impl FnOnce(&str, &str)) {
         let to = if self.tenant == TENANTS[0] {
             TENANTS[1]
@@ -122,7 +125,7 @@
     }
 }
 
-/// What a call asked for.
+/// The user of a call, and the tenant whose function it requests.
 struct RequestedCall {
     user: usize,
     tenant: &'static str,
@@ -135,7 +138,8 @@
     received: usize,
     /// Calls that were answered as served.
     served: usize,
-    /// Calls that ran on a tenant on which their user had not been for longer than the bound.
+    /// Calls that reached a worker for another tenant than they requested, or for one that their user had not belonged
+    /// to within [`MAX_MIGRATION_DELAY`] before.
     violations: Vec<String>,
 }
 
@@ -143,7 +147,7 @@
     seed: u64,
     random: SplitMix64,
     users: Vec<User>,
-    /// The server that hears of no moves.
+    /// The index of the server that receives no migrations.
     stale: usize,
     requested: BTreeMap<String, RequestedCall>,
     answered: usize,
@@ -195,7 +199,7 @@
             }
             let user = self.random.below(self.users.len());
             let call = self.draw_call(user);
-            self.client.calls.send(call).await.expect("running");
+            self.client.calls.send(call).await.expect("the client runs");
             if self.random.unit() < MIGRATION_SHARE {
                 self.migrate_user(user);
             }
@@ -233,7 +237,8 @@
         call
     }
 
-    /// Moves a user to the other tenant at one server; the other one hears of it when it next catches up.
+    /// Migrates a user to the other tenant at the newest server; the stale server receives the change when it next
+    /// catches up.
     fn migrate_user(&mut self, user: usize) {
         let newest = &self.servers[1 - self.stale];
         self.users[user].migrate(|dn, tenant| {
@@ -241,7 +246,7 @@
         });
     }
 
-    /// Ends the faults of the directory servers, and begins another one.
+    /// Ends the present faults of the directory servers, and begins another one.
     fn change_faults(&mut self) {
         for server in &self.servers {
             server.set_faults(|f| *f = Default::default());
@@ -259,7 +264,7 @@
                 .iter()
                 .for_each(|s| s.set_faults(|f| f.busy = true)),
             _ => {
-                // The stale one hears of everything it missed, and the other falls behind.
+                // The stale server catches up with all changes, and the other one becomes stale.
                 self.servers[self.stale].copy_from(&self.servers[1 - self.stale]);
                 self.stale = 1 - self.stale;
             }
@@ -287,7 +292,7 @@
     RandomRun::start(seed).await.run().await
 }
 
-/// Runs the days of these seeds, four at a time at the most.
+/// Makes one run for each seed from 0, at most [`MAX_PARALLEL_RUNS`] at a time, and returns the sum of the results.
 async fn run_seeds(seeds: u64) -> RunResult {
     let mut runs = tokio::task::JoinSet::new();
     let mut total = RunResult::default();
@@ -311,7 +316,7 @@
     total
 }
 
-/// `PIPITHUB_SEEDS` sets how many days are run.
+/// `PIPITHUB_SEEDS` sets the number of runs; the default is 4.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn no_call_runs_for_another_tenant_during_migrations_faults_and_stale_replicas() {
     let seeds: u64 = std::env::var("PIPITHUB_SEEDS")
@@ -331,11 +336,11 @@
     assert!(violations.is_empty(), "{violations:?}");
     assert!(
         served >= seeds as usize * SERVED_CALLS_PER_RUN,
-        "only {served} of {calls} were served: the runs show nothing"
+        "only {served} of {calls} were served: the runs prove too little"
     );
 }
 
-/// A user who was moved from north to south between the seconds 10 and 11, as the clock was read.
+/// A user who was migrated from north to south between 10 and 11 seconds of Unix time.
 fn migrated_user() -> User {
     let mut user = User::new(0);
     user.memberships.push(Membership {
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -1,4 +1,4 @@
-//! What the tests run against: a broker, a worker and directory servers on loopback, and a client.
+//! The test bed: a broker, a worker and directory servers on loopback, and a client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,13 +43,13 @@
         .expect("a directory")
 }
 
-/// Calls wait for their user's look-up for as long as it may take on a busy machine: by default they would be rejected
-/// after 40 ms, and what these tests are about is who the user is, not how soon that is known.
+/// Settings by which calls wait for the look-up of their user for as long as it may take on a busy machine. By default
+/// they would be rejected after 40 ms, but these tests check the result of the look-up, not its duration.
 pub(crate) const LONG_IDENTITY_WAIT: &str = "admission { identity-wait \"3s\" }";
 
 /// A call that reached the worker.
 pub(crate) struct ReceivedCall {
-    /// Unix time in nanoseconds.
+    /// When the worker received the call, in Unix nanoseconds.
     pub(crate) at_ns: u64,
     pub(crate) request: String,
     pub(crate) function: String,
@@ -104,7 +104,8 @@
         more: &str,
     ) -> Config {
         let ca = self.folder.join("ca.pem");
-        std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>()).expect("written");
+        std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>())
+            .expect("a writable file");
         let servers: String = servers
             .iter()
             .map(|s| format!("server \"{}\"; ", s.address()))
@@ -137,7 +138,7 @@
         )
     }
 
-    /// Calls that reached the worker.
+    /// The calls that reached the worker.
     pub(crate) fn received_calls(&self) -> Vec<ReceivedCall> {
         let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
@@ -182,14 +183,12 @@
 /// The next answer.
 pub(crate) async fn answer(client: &mut QueueClient) -> Answer {
     let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
-    answer
-        .expect("an answer in its time")
-        .expect("the client runs")
+    answer.expect("an answer in time").expect("the client runs")
 }
 
-/// Sends a call; the verdict and the cause of its answer.
+/// Sends a call and returns the verdict and the cause of its answer.
 pub(crate) async fn answer_to(client: &mut QueueClient, call: Publish) -> (String, String) {
-    client.calls.send(call).await.expect("running");
+    client.calls.send(call).await.expect("the client runs");
     let answer = answer(client).await;
     (answer.verdict, answer.cause)
 }
