--- a/crates/pipithub-gateway/tests/tenants/identity.rs
+++ b/crates/pipithub-gateway/tests/tenants/identity.rs
@@ -126,34 +126,34 @@
         ..Login::default()
     };
     let mut client = QueueClient::start(&test_bed.broker.address().to_string(), login, "answers");
-    let by = |id: &str, user: Option<&str>, function: &str| Publish {
+    let unsigned_call = |id: &str, user: Option<&str>, function: &str| Publish {
         signed: None,
         user_id: user.map(str::to_string),
         ..call(id, "", function)
     };
     assert_eq!(
-        answer_to(&mut client, by("1", Some("mai"), "north-map")).await,
+        answer_to(&mut client, unsigned_call("1", Some("mai"), "north-map")).await,
         verdict("served", "answered")
     );
     assert_eq!(
-        answer_to(&mut client, by("2", Some("mai"), "south-map")).await,
+        answer_to(&mut client, unsigned_call("2", Some("mai"), "south-map")).await,
         verdict("refused", "other-tenant")
     );
     assert_eq!(
-        answer_to(&mut client, by("3", None, "north-map")).await,
+        answer_to(&mut client, unsigned_call("3", None, "north-map")).await,
         verdict("refused", "unreadable")
     );
     // The broker accepts no message under another user's name and closes the channel. The client opens a new one.
     client
         .calls
-        .send(by("4", Some("lan"), "south-map"))
+        .send(unsigned_call("4", Some("lan"), "south-map"))
         .await
         .expect("the client runs");
     let deadline = tokio::time::Instant::now() + Duration::from_secs(30);
     loop {
         client
             .calls
-            .send(by("5", Some("mai"), "north-map"))
+            .send(unsigned_call("5", Some("mai"), "north-map"))
             .await
             .expect("the client runs");
         match tokio::time::timeout(Duration::from_millis(500), client.answers.recv()).await {
--- a/crates/pipithub-gateway/tests/tenants/random_migrations.rs
+++ b/crates/pipithub-gateway/tests/tenants/random_migrations.rs
@@ -191,9 +191,9 @@
     async fn run(mut self) -> RunResult {
         let started = Instant::now();
         let mut next_fault = FIRST_FAULT;
-        let mut pause = tokio::time::interval(CALL_INTERVAL);
+        let mut call_interval = tokio::time::interval(CALL_INTERVAL);
         while self.served < SERVED_CALLS_PER_RUN && self.requested.len() < MAX_CALLS_PER_RUN {
-            pause.tick().await;
+            call_interval.tick().await;
             while let Ok(answer) = self.client.answers.try_recv() {
                 self.count_answer(&answer);
             }
