--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -1,7 +1,7 @@
 //! The state machine that consumes one queue at one broker.
 //!
-//! This module has its transport, timers and shutdown. `events` handles what the broker sends, `delivery_limit` sets
-//! the limit on deliveries in flight, and `commit` publishes answers and acknowledges their messages.
+//! This module handles the transport, timers and shutdown. `events` handles what the broker sends, `delivery_limit`
+//! sets the limit on deliveries in flight, and `commit` publishes answers and acknowledges their messages.
 
 mod commit;
 mod delivery_limit;
@@ -21,8 +21,8 @@
 pub use self::notice::{Notice, Phase};
 pub use self::settings::{ConsumerSettings, DeadLetterTarget, Qos};
 use crate::backoff::{Backoff, BackoffRange};
-use crate::identity::Identity;
-use crate::latest_wall::LatestWall;
+use crate::identity::IdentityVerifier;
+use crate::latest_wall::LatestWallTime;
 use crate::message::ReplyAddress;
 
 const MS: Time = 1_000_000;
@@ -60,24 +60,24 @@
     shutting_down: bool,
     /// Whether the exchange for dead letters is missing. Publishing to it would close the channel for each message that
     /// cannot be read, so such messages are rejected instead.
-    no_dead_letters: bool,
+    dead_letter_exchange_missing: bool,
     notices: VecDeque<Notice>,
-    identity: Identity,
+    identity_verifier: IdentityVerifier,
     wall_ms: u64,
-    latest_wall: LatestWall,
+    latest_wall: LatestWallTime,
     latest_wall_ms: u64,
     now: Time,
 }
 
 impl Consumer {
-    /// Creates a consumer that wants a transport at once. The seed is for the jitter of its backoff.
+    /// Creates a consumer that requests a transport at once. The seed determines the jitter of its backoff.
     pub fn new(settings: ConsumerSettings, now: Time, seed: u64) -> Self {
         let BackoffRange { initial, max } = settings.reconnect_backoff;
         Consumer {
             backoff: Backoff::new(initial, max, HEALTHY_AFTER, seed),
             tag: ShortStr::truncated(&settings.front_end),
             capacity: usize::from(settings.prefetch),
-            identity: Identity::new(settings.identity.clone()),
+            identity_verifier: IdentityVerifier::new(settings.identity.clone()),
             settings,
             endpoint: None,
             phase: Phase::Idle(now),
@@ -89,10 +89,10 @@
             blocked: false,
             applied_limit: AppliedLimit::default(),
             shutting_down: false,
-            no_dead_letters: false,
+            dead_letter_exchange_missing: false,
             notices: VecDeque::new(),
             wall_ms: 0,
-            latest_wall: LatestWall::default(),
+            latest_wall: LatestWallTime::default(),
             latest_wall_ms: 0,
             now,
         }
@@ -113,7 +113,7 @@
         self.notices.pop_front()
     }
 
-    /// Handles that a transport was opened. It is ignored if the consumer has one already or is stopped.
+    /// Handles the opening of a transport, which is ignored if the consumer has one already or is stopped.
     pub fn connected(&mut self, now: Time) {
         if matches!(self.phase, Phase::Idle(_)) {
             self.now = now;
@@ -124,22 +124,22 @@
         }
     }
 
-    /// Handles that a transport could not be opened or was lost, for `reason`.
+    /// Handles the failure to open a transport, or the loss of the open one, for `reason`.
     pub fn transport_lost(&mut self, now: Time, reason: &str) {
         self.now = now;
         match self.phase {
-            Phase::Idle(_) => self.phase = Phase::Idle(now + self.backoff.down(now)),
+            Phase::Idle(_) => self.phase = Phase::Idle(now + self.backoff.delay_after_failure(now)),
             Phase::Stopped => {}
             _ => {
                 self.endpoint = None;
-                self.lose_tickets(reason);
+                self.invalidate_tickets(reason);
             }
         }
     }
 
-    /// Voids all tickets. The broker delivers their messages again, unless their transaction was committed. Another
-    /// transport is wanted after the backoff.
-    fn lose_tickets(&mut self, reason: &str) {
+    /// Invalidates all tickets. The broker delivers their messages again, unless their transaction was committed. A
+    /// consumer that is not shutting down requests another transport after the backoff.
+    fn invalidate_tickets(&mut self, reason: &str) {
         self.in_flight.clear();
         self.pending.clear();
         self.committing.clear();
@@ -148,7 +148,7 @@
         self.phase = if self.shutting_down {
             Phase::Stopped
         } else {
-            Phase::Idle(self.now + self.backoff.down(self.now))
+            Phase::Idle(self.now + self.backoff.delay_after_failure(self.now))
         };
     }
 
@@ -200,8 +200,8 @@
         output
     }
 
-    /// Whether the connection is closed, so that the transport may be closed too.
-    pub fn is_over(&self) -> bool {
+    /// Whether the AMQP connection is closed or there is none, so that the transport may be closed too.
+    pub fn is_connection_closed(&self) -> bool {
         self.endpoint.as_ref().is_none_or(Endpoint::is_closed)
     }
 
@@ -211,13 +211,13 @@
         self.apply_capacity();
     }
 
-    /// Publishes the final answer of a trigger and settles its message. A void ticket is ignored.
+    /// Publishes the final answer to a trigger and settles its message. An invalid ticket is ignored.
     pub fn answer(&mut self, now: Time, ticket: Ticket, reply: Arc<Reply>) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Reply(reply));
     }
 
-    /// Settles the message of a trigger without an answer. A void ticket is ignored.
+    /// Settles the message of a trigger without an answer. An invalid ticket is ignored.
     pub fn acknowledge(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Nothing);
--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -105,14 +105,15 @@
         }
     }
 
-    /// Publishes a copy of an unreadable message as a dead letter. Returns false if there is no target for it.
+    /// Publishes a copy of an unreadable message as a dead letter. Returns false if dead letters have no target, or if
+    /// the exchange of the target is missing.
     fn publish_dead_letter(
         &mut self,
         channel: u16,
         error: &MessageError,
         content: &Content,
     ) -> bool {
-        if self.no_dead_letters {
+        if self.dead_letter_exchange_missing {
             return false;
         }
         let Some(target) = self.settings.dead_letter.clone() else {
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -8,11 +8,11 @@
 //! | `pipithub-function` | the function or model to run |
 //! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | properties of the function |
 //! | `pipithub-key` | the key by which workers deduplicate the call |
-//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of both counts |
+//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of the two applies |
 //! | `timestamp`, `pipithub-sent-ms` | when the message was sent, in Unix seconds or Unix milliseconds |
 //!
-//! The route of a queue may give defaults for all of them but the first two lines and the last two. A header takes
-//! precedence over the route.
+//! The route of a queue may give defaults for the class, the function with its properties, and the client timeout. A
+//! header takes precedence over the route.
 
 mod error;
 
@@ -25,8 +25,8 @@
 pub use self::error::MessageError;
 
 const MS: Time = 1_000_000;
-/// Timeouts and ages are capped at a day.
-const MAX_SPAN_MS: u64 = 86_400_000;
+/// The cap on all durations that are read or computed from a message: a day.
+const MAX_DURATION_MS: u64 = 86_400_000;
 /// If the clock of a sender is ahead by more than this, the age of its messages counts as unknown.
 const MAX_SKEW_MS: u64 = 1_000;
 /// The maximum length of the name of a function, in bytes.
@@ -44,13 +44,13 @@
     /// The memory that one replica takes, in MB.
     pub memory_mb: f64,
     /// The number of calls that one replica runs at a time; 0 counts as 1.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// The usual time to load a replica, in nanoseconds; `None` if it is not known.
     pub load_time: Option<Time>,
     /// The expected run time of a call, in nanoseconds; `None` if it is not known.
-    pub expected: Option<Time>,
+    pub expected_work: Option<Time>,
     /// The client timeout, in nanoseconds; `None` leaves it to the class.
-    pub budget: Option<Time>,
+    pub client_timeout: Option<Time>,
     /// The tenant that the route belongs to; `None` if it belongs to none.
     pub tenant: Option<Tenant>,
 }
@@ -69,7 +69,7 @@
 pub struct ParsedMessage {
     /// The call that the message asks for.
     pub call: Call,
-    /// Identifies the message across its deliveries; `None` if it has nothing to identify it.
+    /// Identifies the message across its deliveries; `None` if no property identifies it.
     pub identity: Option<Arc<str>>,
     /// The number of earlier deliveries; 0 if the broker does not count them.
     pub deliveries: u32,
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_SPAN_MS`].
-    fn span(self, name: &'static str) -> Result<Option<Time>, MessageError> {
+    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_DURATION_MS`].
+    fn duration(self, name: &'static str) -> Result<Option<Time>, MessageError> {
         let millis = self.number(name)?;
-        Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
+        Ok(millis.map(|ms| (ms.min(MAX_DURATION_MS as f64) * MS as f64) as Time))
     }
 
     fn text(self, name: &'static str) -> Result<Option<&'a str>, MessageError> {
@@ -117,23 +117,29 @@
 /// When a message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalTime {
-    /// The wall time, in Unix milliseconds. What is left of the client timeout is computed from it.
+    /// The wall time, in Unix milliseconds. The remaining client timeout is computed from it.
     pub wall_ms: u64,
-    /// The wall time according to [`crate::LatestWall`], in Unix milliseconds. The age of a message is computed from
-    /// it, so that a step back of the clock makes no message look younger.
+    /// The wall time according to [`crate::LatestWallTime`], in Unix milliseconds. The age of a message is computed
+    /// from it, so that a step back of the clock makes no message look younger.
     pub latest_wall_ms: u64,
 }
 
 impl ArrivalTime {
     /// The time since `sent_ms` by the wall clock, in nanoseconds; 0 if the clock was stepped back beyond it.
     fn since(&self, sent_ms: u64) -> Time {
-        self.wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS
+        self.wall_ms.saturating_sub(sent_ms).min(MAX_DURATION_MS) * MS
     }
 
-    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that lies in the future.
+    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that is more than [`MAX_SKEW_MS`]
+    /// in the future.
     fn max_age(&self, sent_ms: u64) -> Option<Time> {
         let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
-        is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS)
+        is_known.then(|| {
+            self.latest_wall_ms
+                .saturating_sub(sent_ms)
+                .min(MAX_DURATION_MS)
+                * MS
+        })
     }
 }
 
@@ -168,12 +174,14 @@
         age: sent
             .earliest_ms
             .and_then(|sent_ms| arrival.max_age(sent_ms)),
-        expected_work: headers.span("pipithub-expected-ms")?.or(route.expected),
+        expected_work: headers
+            .duration("pipithub-expected-ms")?
+            .or(route.expected_work),
         memory_mb: headers
             .number("pipithub-memory-mb")?
             .unwrap_or(route.memory_mb),
         replica_concurrency,
-        load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
+        load_time: headers.duration("pipithub-load-ms")?.or(route.load_time),
         message_id: message_id
             .or(properties.correlation_id.as_deref())
             .map(Into::into),
@@ -194,7 +202,7 @@
 /// The number of calls that one replica runs at a time.
 fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, MessageError> {
     let given = headers.number("pipithub-lanes")?;
-    let concurrency = given.map_or(route.lanes, |given| {
+    let concurrency = given.map_or(route.replica_concurrency, |given| {
         given.min(MAX_REPLICA_CONCURRENCY) as u32
     });
     Ok(concurrency.max(1))
@@ -237,17 +245,17 @@
     }
 }
 
-/// The client timeout, which began when the message was sent.
+/// The client timeout, counted from when the message was sent.
 fn client_timeout(
     properties: &Properties,
     headers: Headers<'_>,
     route: &Route,
 ) -> Result<Option<Time>, MessageError> {
-    let budget = headers.span("pipithub-budget-ms");
+    let budget = headers.duration("pipithub-budget-ms");
     let expiration = match &properties.expiration {
         None => None,
         Some(text) => match text.parse::<u64>() {
-            Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
+            Ok(ms) => Some(ms.min(MAX_DURATION_MS) * MS),
             Err(_) => {
                 return Err(MessageError::InvalidExpiration {
                     text: text.to_string(),
@@ -259,7 +267,7 @@
         .into_iter()
         .flatten()
         .min()
-        .or(route.budget))
+        .or(route.client_timeout))
 }
 
 /// When a message was sent, in Unix milliseconds.
@@ -289,7 +297,7 @@
     properties.message_id.as_deref().filter(|id| !id.is_empty())
 }
 
-/// Identifies the message across its deliveries; `None` if it has nothing to identify it.
+/// Identifies the message across its deliveries; `None` if no property identifies it.
 fn identity(properties: &Properties, queue: &str) -> Option<Arc<str>> {
     if let Some(id) = message_id(properties) {
         return Some(format!("{queue}\0{id}").into());
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -1,10 +1,10 @@
 //! Recognizes signed messages that were accepted before, also across steps of the wall clock.
 //!
-//! The caller checks the signed timestamp of a message against the wall clock. Here durations are monotonic time: an id
-//! is remembered for as long as its message could still be accepted, also after a step back of [`MAX_STEP_BACK`]. An id
-//! may have to be forgotten earlier, because the memory is full or the step was greater. Its message could not be told
-//! from a replay then, so the timestamps of forgotten ids are kept as a few spans, and no message from within them is
-//! accepted as new.
+//! The caller checks the signed timestamp of a message against the wall clock. This module measures durations in
+//! monotonic time: an id is remembered for as long as its message could still be accepted, also after a step back of
+//! [`MAX_STEP_BACK`]. An id may have to be forgotten earlier, because the memory is full or the step back was greater.
+//! A replay could then not be recognized by its id, so the timestamps of forgotten ids are kept as a few spans, and no
+//! message with a timestamp within them is accepted as new.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -14,7 +14,8 @@
 const NANOS_PER_MS: Time = 1_000_000;
 /// The maximum number of ids remembered; each takes about 70 bytes.
 const MAX_REMEMBERED: usize = 500_000;
-/// The maximum step back of the wall clock after which no forgotten message can be accepted again.
+/// Ids are remembered for long enough that a step back of the wall clock by at most this makes no forgotten message
+/// acceptable again.
 const MAX_STEP_BACK: Time = 3_600_000 * NANOS_PER_MS;
 /// The maximum number of spans of timestamps whose ids were forgotten.
 const MAX_SPANS: usize = 8;
@@ -41,7 +42,7 @@
     }
 
     /// The minimum time for which an id is remembered.
-    fn span(&self) -> Time {
+    fn retention(&self) -> Time {
         let accepted_ms = self.behind_ms.saturating_add(self.ahead_ms);
         accepted_ms
             .saturating_mul(NANOS_PER_MS)
@@ -63,7 +64,7 @@
 struct Remembered {
     id: IdDigest,
     sent_ms: u64,
-    accepted: Time,
+    accepted_at: Time,
 }
 
 /// The signed messages that were accepted, bounded in number.
@@ -114,14 +115,14 @@
         self.by_arrival.push_back(Remembered {
             id,
             sent_ms,
-            accepted: now,
+            accepted_at: now,
         });
         true
     }
 
     fn forget_expired(&mut self, now: Time, wall_ms: u64, tolerance: Tolerance) {
         let is_expired = |oldest: &Remembered| {
-            now.saturating_sub(oldest.accepted) > tolerance.span()
+            now.saturating_sub(oldest.accepted_at) > tolerance.retention()
                 && tolerance.is_past(oldest.sent_ms, wall_ms)
         };
         while self.by_arrival.front().is_some_and(is_expired) {
@@ -155,9 +156,9 @@
     }
 
     fn add(&mut self, sent_ms: u64) {
-        let place = self.0.partition_point(|span| span.first_ms <= sent_ms);
+        let index = self.0.partition_point(|span| span.first_ms <= sent_ms);
         self.0.insert(
-            place,
+            index,
             Span {
                 first_ms: sent_ms,
                 last_ms: sent_ms,
@@ -171,7 +172,8 @@
             joins
         });
         if self.0.len() > MAX_SPANS {
-            // Joining the two oldest spans also covers what lies between them, which least likely holds new messages.
+            // The range between the two oldest spans, which joining them covers too, is the least likely to hold the
+            // timestamps of new messages.
             let second = self.0.remove(1);
             self.0[0].last_ms = second.last_ms;
         }
--- a/crates/pipithub-consumer/tests/with_broker/front_end.rs
+++ b/crates/pipithub-consumer/tests/with_broker/front_end.rs
@@ -1,4 +1,4 @@
-//! A front end: an engine and its consumer, which the test bed moves.
+//! A front end: an engine and its consumer, driven by the test bed.
 
 use bytes::Bytes;
 use pipithub_amqp::{Login, Tuning};
@@ -18,7 +18,7 @@
 
 const SOURCE: SourceId = SourceId(0);
 
-/// What a front end is started with.
+/// The options with which a front end is started.
 #[derive(Clone, Copy)]
 pub(crate) struct StartOptions {
     pub(crate) number: usize,
@@ -31,14 +31,14 @@
 pub(crate) struct RunningAttempt {
     pub(crate) id: AttemptId,
     /// The message id of its call.
-    label: String,
+    message_id: String,
 }
 
 impl RunningAttempt {
     fn new(id: AttemptId, call: &Call) -> Self {
         RunningAttempt {
             id,
-            label: call.message_id.as_deref().unwrap_or("?").to_string(),
+            message_id: call.message_id.as_deref().unwrap_or("?").to_string(),
         }
     }
 }
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Opens a transport if the consumer wants one, with the next connection id. Returns whether there is one.
+    /// Opens a transport with the next connection id, if the consumer requests one. Returns whether there is a
+    /// transport.
     pub(crate) fn connect(
         &mut self,
         now: Time,
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Exchanges bytes with the broker and lets the engine handle what came of it. Returns whether anything happened.
+    /// Exchanges bytes with the broker and lets the engine handle the resulting notices. Returns whether anything
+    /// happened.
     pub(crate) fn step(&mut self, now: Time, wall_ms: u64, broker: &mut Broker) -> bool {
         let exchanged = self.exchange(now, wall_ms, broker);
         let mut outputs = Vec::new();
@@ -153,9 +155,9 @@
 
     /// Ends all attempts with an outcome and returns the message ids of their calls.
     pub(crate) fn finish_attempts(&mut self, now: Time, outcome: Outcome) -> Vec<String> {
-        let mut labels = Vec::new();
+        let mut message_ids = Vec::new();
         for attempt in std::mem::take(&mut self.attempts) {
-            labels.push(attempt.label);
+            message_ids.push(attempt.message_id);
             let finished = Input::AttemptFinished(attempt_result(attempt.id, outcome));
             let mut outputs = Vec::new();
             self.engine.handle(now, finished, &mut outputs);
@@ -163,7 +165,7 @@
                 self.handle_output(now, output);
             }
         }
-        labels
+        message_ids
     }
 }
 
@@ -219,7 +221,7 @@
         declare: true,
         route: Route {
             function: Some("f".into()),
-            lanes: 4,
+            replica_concurrency: 4,
             ..Route::default()
         },
         classes: vec![
--- a/crates/pipithub-gateway/tests/tenants/main.rs
+++ b/crates/pipithub-gateway/tests/tenants/main.rs
@@ -1,8 +1,8 @@
 //! Tests of tenants on loopback sockets, with a broker, a worker and directory servers, and with migrations, faults and
-//! stale replicas. They are judged by the calls that the worker has received.
+//! stale replicas. They check which calls the worker has received.
 
 mod identity;
 mod migrations;
-mod random_days;
+mod random_migrations;
 mod rig;
 mod snapshots;
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -1,4 +1,4 @@
-//! What the tests run against: a broker, a worker and directory servers on loopback, and a client.
+//! The test bed: a broker, a worker and directory servers on loopback, and a client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,28 +43,28 @@
         .expect("a directory")
 }
 
-/// Calls wait for their user's look-up for as long as it may take on a busy machine: by default they would be rejected
-/// after 40 ms, and what these tests are about is who the user is, not how soon that is known.
-pub(crate) const PATIENT_ADMISSION: &str = "admission { identity-wait \"3s\" }";
+/// Settings by which calls wait for the look-up of their user for as long as it may take on a busy machine. By default
+/// they would be rejected after 40 ms, but these tests check the result of the look-up, not its duration.
+pub(crate) const LONG_IDENTITY_WAIT: &str = "admission { identity-wait \"3s\" }";
 
 /// A call that reached the worker.
-pub(crate) struct SentCall {
-    /// Unix time in nanoseconds.
-    pub(crate) at: u64,
+pub(crate) struct ReceivedCall {
+    /// When the worker received the call, in Unix nanoseconds.
+    pub(crate) at_ns: u64,
     pub(crate) request: String,
     pub(crate) function: String,
 }
 
 /// A broker and a worker, and a folder for files.
-pub(crate) struct Stage {
+pub(crate) struct TestBed {
     pub(crate) broker: BrokerServer,
     worker_server: WorkerServer,
-    seen: Recorder,
+    worker_recorder: Recorder,
     pub(crate) folder: std::path::PathBuf,
 }
 
-impl Stage {
-    pub(crate) async fn new(name: &str) -> Stage {
+impl TestBed {
+    pub(crate) async fn new(name: &str) -> TestBed {
         let queues = vec![("calls".to_string(), FieldTable::new())];
         let settings = BrokerSettings {
             queues,
@@ -75,7 +75,7 @@
         let broker = BrokerServer::start(loopback(), settings)
             .await
             .expect("a broker");
-        let seen = Recorder::memory();
+        let worker_recorder = Recorder::memory();
         let settings = WorkerSettings {
             cores: 8.0,
             run: 5_000_000,
@@ -83,16 +83,16 @@
             initial_weight: 1.0,
             ..WorkerSettings::default()
         };
-        let worker = WorkerServer::start(loopback(), settings, None, seen.clone())
+        let worker = WorkerServer::start(loopback(), settings, None, worker_recorder.clone())
             .await
             .expect("a worker");
         let folder =
             std::env::temp_dir().join(format!("pipithub-tenants-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Stage {
+        TestBed {
             broker,
             worker_server: worker,
-            seen,
+            worker_recorder,
             folder,
         }
     }
@@ -104,7 +104,8 @@
         more: &str,
     ) -> Config {
         let ca = self.folder.join("ca.pem");
-        std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>()).expect("written");
+        std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>())
+            .expect("a writable file");
         let servers: String = servers
             .iter()
             .map(|s| format!("server \"{}\"; ", s.address()))
@@ -137,23 +138,27 @@
         )
     }
 
-    /// Calls that reached the worker.
-    pub(crate) fn sent(&self) -> Vec<SentCall> {
+    /// The calls that reached the worker.
+    pub(crate) fn received_calls(&self) -> Vec<ReceivedCall> {
         let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
                 request, function, ..
-            } => Some(SentCall {
-                at: r.time_ns,
+            } => Some(ReceivedCall {
+                at_ns: r.time_ns,
                 request,
                 function,
             }),
             _ => None,
         };
-        self.seen.records().into_iter().filter_map(call).collect()
+        self.worker_recorder
+            .records()
+            .into_iter()
+            .filter_map(call)
+            .collect()
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestBed {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -178,14 +183,12 @@
 /// The next answer.
 pub(crate) async fn answer(client: &mut QueueClient) -> Answer {
     let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
-    answer
-        .expect("an answer in its time")
-        .expect("the client runs")
+    answer.expect("an answer in time").expect("the client runs")
 }
 
-/// Sends a call; the verdict and the cause of its answer.
+/// Sends a call and returns the verdict and the cause of its answer.
 pub(crate) async fn answer_to(client: &mut QueueClient, call: Publish) -> (String, String) {
-    client.calls.send(call).await.expect("running");
+    client.calls.send(call).await.expect("the client runs");
     let answer = answer(client).await;
     (answer.verdict, answer.cause)
 }
