--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
-    waiting: PendingLookups<Pending<T>>,
+    pending_lookups: PendingLookups<Pending<T>>,
     quotas: Quotas<Pending<T>>,
     /// When the refresh of a known user was last asked for, so that a busy user is not refreshed with each request.
     refreshes: BTreeMap<User, Time>,
@@ -90,7 +90,7 @@
     /// Creates an admission control with no request in flight.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
-            waiting: PendingLookups::new(settings.max_waiting),
+            pending_lookups: PendingLookups::new(settings.max_waiting),
             quotas: Quotas::new(settings.quotas.clone()),
             refreshes: BTreeMap::new(),
             decisions: Vec::new(),
@@ -100,12 +100,12 @@
 
     /// The number of requests that wait for a look-up or in the queue of their tenant.
     pub fn pending(&self) -> usize {
-        self.waiting.len() + self.quotas.queued()
+        self.pending_lookups.len() + self.quotas.queued()
     }
 
     /// When [`Admission::tick`] is due next; `None` if no request waits.
     pub fn next_due(&self) -> Option<Time> {
-        [self.waiting.next_due(), self.quotas.next_due()]
+        [self.pending_lookups.next_due(), self.quotas.next_due()]
             .into_iter()
             .flatten()
             .min()
@@ -127,16 +127,16 @@
         let Some(user) = pending.arrival.user.clone() else {
             return self.arrive_without_user(now, roster, pending, outputs);
         };
-        let view = roster.resolve(&user, now);
-        if !self.needs_lookup(now, &user, view, outputs) {
-            return self.judge(now, roster, view, pending, outputs);
+        let resolution = roster.resolve(&user, now);
+        if !self.needs_lookup(now, &user, resolution, outputs) {
+            return self.apply_resolution(now, roster, resolution, pending, outputs);
         }
         let max_wait = pending.arrival.remaining / IDENTITY_WAIT_DIVISOR;
         let until = now + self.settings.max_identity_wait.min(max_wait);
-        match self.waiting.add(now, until, user.clone(), pending) {
+        match self.pending_lookups.add(now, until, user.clone(), pending) {
             Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
             // The limit on waiting requests is reached, so the request is judged by what is known now.
-            Err(pending) => self.judge(now, roster, view, pending, outputs),
+            Err(pending) => self.apply_resolution(now, roster, resolution, pending, outputs),
         }
     }
 
@@ -159,10 +159,10 @@
         &mut self,
         now: Time,
         user: &User,
-        view: Resolution,
+        resolution: Resolution,
         outputs: &mut Vec<Output<T>>,
     ) -> bool {
-        match view {
+        match resolution {
             Resolution::Unknown => true,
             Resolution::Tenant { refresh, .. } => {
                 if refresh == Refresh::InBackground && self.may_refresh(now, user) {
@@ -194,15 +194,15 @@
     }
 
     /// Rejects a request or offers it to the quota of its tenant, by what is known of its user.
-    fn judge(
+    fn apply_resolution(
         &mut self,
         now: Time,
         roster: &Roster,
-        view: Resolution,
+        resolution: Resolution,
         mut pending: Pending<T>,
         outputs: &mut Vec<Output<T>>,
     ) {
-        match view {
+        match resolution {
             Resolution::Tenant { tenant, person, .. } => {
                 let route_tenant = pending.arrival.route_tenant;
                 if route_tenant.is_some_and(|expected| expected != tenant) {
@@ -212,7 +212,7 @@
                 self.offer(now, roster, pending, tenant, outputs);
             }
             Resolution::NoTenant => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
-            Resolution::Ambiguous => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
+            Resolution::Ambiguous => outputs.push(pending.reject(RejectReason::AmbiguousTenant, 0)),
             Resolution::Unknown => {
                 outputs.push(pending.reject(RejectReason::UnknownUser, UNKNOWN_USER_RETRY_AFTER));
             }
@@ -271,9 +271,9 @@
         self.quotas
             .completed(now, tenant, result, 0, &mut self.decisions);
         let user = pending.arrival.user.as_deref();
-        let view = user.map_or(Resolution::Unknown, |user| roster.resolve(user, now));
-        let reason = if view == Resolution::Ambiguous {
-            RejectReason::ClaimedTwice
+        let resolution = user.map_or(Resolution::Unknown, |user| roster.resolve(user, now));
+        let reason = if resolution == Resolution::Ambiguous {
+            RejectReason::AmbiguousTenant
         } else {
             RejectReason::UnknownUser
         };
@@ -288,9 +288,9 @@
         user: &str,
         outputs: &mut Vec<Output<T>>,
     ) {
-        for ended in self.waiting.finish(user) {
-            let view = roster.resolve(user, now);
-            self.judge(now, roster, view, ended.request, outputs);
+        for ended in self.pending_lookups.finish(user) {
+            let resolution = roster.resolve(user, now);
+            self.apply_resolution(now, roster, resolution, ended.request, outputs);
         }
     }
 
@@ -315,11 +315,11 @@
 
     /// Handles what is due: look-ups that took too long, waits in queues that are over, and quota that became free.
     pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
-        for ended in self.waiting.expire(now) {
+        for ended in self.pending_lookups.expire(now) {
             // A stale record is still better than a rejection; the roster does not return records beyond their hard
             // limit.
-            let view = roster.resolve(&ended.user, now);
-            self.judge(now, roster, view, ended.request, outputs);
+            let resolution = roster.resolve(&ended.user, now);
+            self.apply_resolution(now, roster, resolution, ended.request, outputs);
         }
         self.quotas.tick(now, &mut self.decisions);
         self.apply_decisions(now, roster, outputs);
@@ -327,7 +327,7 @@
 
     /// Drops waiting requests that were cancelled. They get no output any more.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
-        self.waiting
+        self.pending_lookups
             .cancel(|pending| is_cancelled(&pending.arrival.request));
         self.quotas
             .cancel(|pending| is_cancelled(&pending.arrival.request));
--- a/crates/pipithub-admission/src/outputs.rs
+++ b/crates/pipithub-admission/src/outputs.rs
@@ -29,7 +29,7 @@
     /// The user belongs to no tenant.
     NoTenant,
     /// The directories of more than one tenant have the user.
-    ClaimedTwice,
+    AmbiguousTenant,
     /// The route belongs to another tenant than the user.
     OtherTenant,
     /// The tenant has used up its quota, and its queue is full or the request waited in it for too long.
--- a/crates/pipithub-admission/src/quotas.rs
+++ b/crates/pipithub-admission/src/quotas.rs
@@ -176,7 +176,7 @@
         let tenant = candidate.tenant;
         let wait = self.max_queue_wait.min(remaining / QUEUE_WAIT_DIVISOR);
         let weight = Reverse(self.class_weight(candidate.class).max(0.0).to_bits());
-        if wait == 0 || !self.make_place(tenant, weight, now, decisions) {
+        if wait == 0 || !self.make_room_in_queue(tenant, weight, now, decisions) {
             let retry_after = self.queue_retry_after(tenant, now);
             return decisions.push(candidate.reject(RejectReason::OverQuota, retry_after));
         }
@@ -193,12 +193,12 @@
         });
         let queue = &mut self.tenants[tenant].queue;
         queue.insert(key, Queued { candidate, until });
-        self.fill(now, decisions);
+        self.start_queued(now, decisions);
     }
 
     /// Whether a request of this weight may join the queue of its tenant. If the queue is full, the request displaces
     /// the one of least weight, and of those the latest, if that weighs less than itself.
-    fn make_place(
+    fn make_room_in_queue(
         &mut self,
         tenant: usize,
         weight: Reverse<u64>,
@@ -238,10 +238,10 @@
     /// How long a tenant needs to work off its queue at the rate of its quota, within the bounds of a Retry-After.
     fn queue_retry_after(&self, tenant: usize, now: Time) -> Time {
         let own = &self.tenants[tenant];
-        let quota = self.guaranteed(tenant, now);
-        let ahead = (own.queue.len() + 1) as f64 + (own.in_flight as f64 - quota).max(0.0);
-        let pace = quota / self.usual_service_time.max(MIN_SERVICE_TIME);
-        ((ahead / pace) as Time).clamp(MIN_QUEUE_RETRY_AFTER, MAX_RETRY_AFTER)
+        let quota = self.guaranteed_in_flight(tenant, now);
+        let backlog = (own.queue.len() + 1) as f64 + (own.in_flight as f64 - quota).max(0.0);
+        let rate = quota / self.usual_service_time.max(MIN_SERVICE_TIME);
+        ((backlog / rate) as Time).clamp(MIN_QUEUE_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Handles that a request has ended, `service_time` after it was admitted.
@@ -264,7 +264,7 @@
             ServiceResult::NoWorkerInTime => self.record_no_worker(now, tenant, in_flight_before),
             ServiceResult::Other => {}
         }
-        self.fill(now, decisions);
+        self.start_queued(now, decisions);
     }
 
     fn record_served(&mut self, now: Time, service_time: Time) {
@@ -273,25 +273,25 @@
         self.recent_service_time +=
             RECENT_TIME_SMOOTHING * (service_time - self.recent_service_time);
         let is_slow = self.recent_service_time > CONGESTION_SLOWDOWN * self.usual_service_time;
-        if is_slow && self.has_noisy_neighbor(now) {
+        if is_slow && self.has_noisy_neighbour(now) {
             self.congested_at = Some(now);
         }
         self.served.record(now);
     }
 
     fn record_no_worker(&mut self, now: Time, tenant: usize, in_flight_before: usize) {
-        if !self.has_noisy_neighbor(now) {
+        if !self.has_noisy_neighbour(now) {
             return;
         }
         self.congested_at = Some(now);
         if self.limit.may_cut(now) {
-            let is_within_quota = in_flight_before as f64 <= self.guaranteed(tenant, now);
+            let is_within_quota = in_flight_before as f64 <= self.guaranteed_in_flight(tenant, now);
             self.limit.cut(now, self.in_flight + 1, is_within_quota);
         }
     }
 
     /// Starts queued requests as long as quotas allow, first of the tenant that has the least in flight for its weight.
-    fn fill(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
+    fn start_queued(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         while let Some(tenant) = self.next_to_start(now) {
             let Some((key, queued)) = self.tenants[tenant].queue.pop_first() else {
                 return;
@@ -321,7 +321,7 @@
     /// Handles what is due: requests whose wait is over are rejected, and others may start.
     pub(crate) fn tick(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         self.limit.grow(now);
-        self.fill(now, decisions);
+        self.start_queued(now, decisions);
         while let Some(deadline) = self.deadlines.first().copied() {
             if deadline.at > now {
                 return;
@@ -359,7 +359,7 @@
         }
         // Other tenants are not throttled because of a noisy neighbour. The decision module rejects what finds no
         // worker.
-        if !self.is_noisy_neighbor(tenant, now) {
+        if !self.is_noisy_neighbour(tenant, now) {
             return true;
         }
         if self.is_congested(now) {
@@ -369,7 +369,7 @@
                 || own.admitted.per_second(now)
                     <= self.allowed_rate(tenant, now) * THROTTLED_FRACTION;
         }
-        if ((own.in_flight + 1) as f64) <= self.guaranteed(tenant, now) {
+        if ((own.in_flight + 1) as f64) <= self.guaranteed_in_flight(tenant, now) {
             return true;
         }
         let borrowable = if self.class_weight(class) * 2.0 < self.max_class_weight {
@@ -386,13 +386,13 @@
     }
 
     /// The number of requests in flight that a tenant may always have now.
-    fn guaranteed(&self, tenant: usize, now: Time) -> f64 {
+    fn guaranteed_in_flight(&self, tenant: usize, now: Time) -> f64 {
         // A quota of less than one request still allows one.
-        (self.limit.current() * self.fraction(tenant, now)).max(1.0)
+        (self.limit.current() * self.quota_fraction(tenant, now)).max(1.0)
     }
 
     /// The quota of a tenant as a part of the quotas of all tenants that were active recently, from 0 to 1.
-    fn fraction(&self, tenant: usize, now: Time) -> f64 {
+    fn quota_fraction(&self, tenant: usize, now: Time) -> f64 {
         let Some(own) = self.tenants.get(tenant) else {
             return 0.0;
         };
@@ -407,14 +407,15 @@
     }
 
     /// Whether some active tenant is a noisy neighbour.
-    fn has_noisy_neighbor(&self, now: Time) -> bool {
+    fn has_noisy_neighbour(&self, now: Time) -> bool {
         let mut tenants = self.tenants.iter().enumerate();
-        tenants.any(|(number, tenant)| tenant.is_active(now) && self.is_noisy_neighbor(number, now))
+        tenants
+            .any(|(number, tenant)| tenant.is_active(now) && self.is_noisy_neighbour(number, now))
     }
 
     /// Whether a tenant asks for far more than its quota. A tenant that is alone never does.
-    fn is_noisy_neighbor(&self, tenant: usize, now: Time) -> bool {
-        let fraction = self.fraction(tenant, now);
+    fn is_noisy_neighbour(&self, tenant: usize, now: Time) -> bool {
+        let fraction = self.quota_fraction(tenant, now);
         let demands = self
             .tenants
             .iter()
@@ -430,14 +431,14 @@
         let served = self.served.per_second(now);
         let (mut others_demand, mut noisy_weights) = (0.0, 0.0);
         for (number, other) in self.tenants.iter().enumerate() {
-            if self.is_noisy_neighbor(number, now) {
+            if self.is_noisy_neighbour(number, now) {
                 noisy_weights += other.quota.weight;
             } else {
                 others_demand += other.demand.per_second(now);
             }
         }
         let weight = self.tenants[tenant].quota.weight;
-        let left = (served - others_demand) * weight / noisy_weights.max(f64::MIN_POSITIVE);
-        left.max(served * self.fraction(tenant, now))
+        let available = (served - others_demand) * weight / noisy_weights.max(f64::MIN_POSITIVE);
+        available.max(served * self.quota_fraction(tenant, now))
     }
 }
--- a/crates/pipithub-admission/src/quotas/tests.rs
+++ b/crates/pipithub-admission/src/quotas/tests.rs
@@ -91,7 +91,7 @@
 }
 
 /// Quotas with ten requests in flight, one of them of a tenant whose quota is a tenth and who asks for more.
-fn full() -> Quotas<u64> {
+fn quotas_at_limit() -> Quotas<u64> {
     let mut quotas = quotas(&[1.0, 9.0], 10.0);
     for n in 0..9 {
         assert_eq!(
@@ -124,7 +124,7 @@
 
 #[test]
 fn queued_request_of_greater_weight_starts_first_and_others_are_rejected_after_their_wait() {
-    let mut quotas = full();
+    let mut quotas = quotas_at_limit();
     assert!(offer(&mut quotas, 0, 0, 1, 3).is_empty());
     let mut decisions = Vec::new();
     quotas.completed(1, 1, ServiceResult::Served, MS, &mut decisions);
@@ -140,7 +140,7 @@
 
 #[test]
 fn full_queue_rejects_a_request_unless_it_displaces_one_of_less_weight() {
-    let mut quotas = full();
+    let mut quotas = quotas_at_limit();
     for n in 3..6 {
         assert!(offer(&mut quotas, 0, 0, 0, n).is_empty());
     }
@@ -169,8 +169,8 @@
         }
         let tenant = usize::from(n % 50 != 0);
         decisions.extend(offer(&mut quotas, now, tenant, 1, n));
-        for start in std::mem::take(&mut decisions) {
-            match start {
+        for decision in std::mem::take(&mut decisions) {
+            match decision {
                 Decision::Admit(candidate) if candidate.tenant == 0 => {
                     quotas.completed(now, 0, ServiceResult::NoWorkerInTime, 0, &mut Vec::new());
                 }
--- a/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
+++ b/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
@@ -18,7 +18,7 @@
 struct Fleet {
     simulation: Simulation,
     /// Whether admission holds the tenants to their quotas; otherwise every call is admitted.
-    quotas: bool,
+    enforces_quotas: bool,
     /// When each worker is free.
     free_at: Vec<Time>,
     /// The running calls by the time of their end.
@@ -29,7 +29,7 @@
 }
 
 impl Fleet {
-    fn new(quotas: bool) -> Self {
+    fn new(enforces_quotas: bool) -> Self {
         let mut simulation = Simulation::new(&[1], |_, _| {});
         simulation.admission = Admission::new(admission_settings(64, 400.0));
         simulation.change_servers(0, |server| {
@@ -41,7 +41,7 @@
         simulation.run_until(S);
         Fleet {
             simulation,
-            quotas,
+            enforces_quotas,
             free_at: vec![0; 40],
             running: BTreeMap::new(),
             next_call: FIRST_CALL,
@@ -51,7 +51,7 @@
     }
 
     fn call(&mut self, tenant: usize) {
-        if self.quotas {
+        if self.enforces_quotas {
             self.simulation.call(self.next_call, USERS[tenant]);
         } else {
             let admitted = Admitted {
@@ -116,7 +116,7 @@
         service_time: Time,
         outputs: &mut Vec<pipithub_admission::Output<u64>>,
     ) {
-        if !self.quotas {
+        if !self.enforces_quotas {
             return;
         }
         let completion = Completion {
@@ -132,9 +132,9 @@
 
     /// Runs the fleet for 30 s and returns the part of each tenant's calls that were served.
     ///
-    /// Each tenant makes 160 calls a second, the second one `storm` times as many from 5 s to 25 s. The fleet serves
+    /// Each tenant makes 160 calls a second, the second one `burst_factor` times as many from 5 s to 25 s. The fleet serves
     /// 800 calls a second, and 400 after it loses half of its workers at 12 s; a quota is half of that.
-    fn run(mut self, storm: usize) -> [f64; 2] {
+    fn run(mut self, burst_factor: usize) -> [f64; 2] {
         for ms in 0..30_000 {
             let now = S + ms * MS;
             self.simulation.run_until(now);
@@ -143,8 +143,8 @@
             }
             if ms % 25 < 4 {
                 self.call(0);
-                let is_storm = (5_000..25_000).contains(&ms);
-                let calls = if is_storm { storm } else { 1 };
+                let is_burst = (5_000..25_000).contains(&ms);
+                let calls = if is_burst { burst_factor } else { 1 };
                 (0..calls).for_each(|_| self.call(1));
             }
             self.finish_calls(now);
@@ -157,20 +157,20 @@
 /// A tenant makes 13 times its usual calls while half of the fleet is lost.
 #[test]
 fn noisy_neighbour_costs_the_other_tenant_less_than_two_percent_of_its_answers() {
-    let [usual, _] = Fleet::new(true).run(1);
-    let [stormy, storm] = Fleet::new(true).run(13);
-    let [without, _] = Fleet::new(false).run(13);
+    let [baseline, _] = Fleet::new(true).run(1);
+    let [during_burst, noisy] = Fleet::new(true).run(13);
+    let [without_quotas, _] = Fleet::new(false).run(13);
     println!(
-        "served of the other tenant: usual {usual:.4}, storm {stormy:.4}, without quotas {without:.4}; \
-         of the noisy one {storm:.4}"
+        "served of the other tenant: baseline {baseline:.4}, during the burst {during_burst:.4}, without quotas {without_quotas:.4}; \
+         of the noisy one {noisy:.4}"
     );
-    assert!(usual > 0.99, "{usual}");
+    assert!(baseline > 0.99, "{baseline}");
     assert!(
-        usual - stormy < 0.02,
-        "usual {usual:.4}, stormy {stormy:.4}"
+        baseline - during_burst < 0.02,
+        "baseline {baseline:.4}, during the burst {during_burst:.4}"
     );
     assert!(
-        without < 0.9,
-        "the load is not hard enough: {without:.4} without quotas"
+        without_quotas < 0.9,
+        "the load is not hard enough: {without_quotas:.4} without quotas"
     );
 }
--- a/crates/pipithub-admission/tests/with_directory/tenancy.rs
+++ b/crates/pipithub-admission/tests/with_directory/tenancy.rs
@@ -34,9 +34,9 @@
             simulation.run_until(simulation.now + S);
             match simulation.tenant("mai") {
                 Some(1) => migrated_at = migrated_at.or(Some(simulation.now)),
-                side => assert!(
+                tenant => assert!(
                     migrated_at.is_none(),
-                    "seed {seed}: back to {side:?} at {}",
+                    "seed {seed}: back to {tenant:?} at {}",
                     simulation.now / S
                 ),
             }
@@ -110,7 +110,7 @@
     assert_eq!(
         simulation.rejected.get(&2),
         Some(&Rejection {
-            reason: RejectReason::ClaimedTwice,
+            reason: RejectReason::AmbiguousTenant,
             waited: 0
         })
     );
@@ -125,6 +125,6 @@
     simulation.run_until(simulation.now + S);
     assert_eq!(
         simulation.rejected.get(&3).map(|r| r.reason),
-        Some(RejectReason::ClaimedTwice)
+        Some(RejectReason::AmbiguousTenant)
     );
 }
--- a/crates/pipithub-amqp/benches/codec.rs
+++ b/crates/pipithub-amqp/benches/codec.rs
@@ -25,18 +25,18 @@
         exchange: text(""),
         routing_key: text("calls"),
     };
-    let on = |payload| Frame {
+    let on_channel_1 = |payload| Frame {
         channel: 1,
         payload,
     };
     vec![
-        on(Payload::Method(deliver)),
-        on(Payload::Header {
+        on_channel_1(Payload::Method(deliver)),
+        on_channel_1(Payload::Header {
             class_id: 60,
             body_size: body as u64,
             properties: Box::new(properties),
         }),
-        on(Payload::Body(Bytes::from(vec![7; body]))),
+        on_channel_1(Payload::Body(Bytes::from(vec![7; body]))),
     ]
 }
 
--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -2,7 +2,7 @@
 //!
 //! The caller does the I/O: it passes received bytes to [`Endpoint::receive`] and writes the bytes that
 //! [`Endpoint::take_output`] returns. [`Endpoint::poll_event`] returns the events that resulted, and
-//! [`Endpoint::next_timeout`] the time at which [`Endpoint::on_time`] is to be called.
+//! [`Endpoint::next_timeout`] the time at which [`Endpoint::handle_timeout`] is to be called.
 
 mod channels;
 mod event;
@@ -73,7 +73,7 @@
     last_received: Time,
     peer_properties: FieldTable,
     /// Client: the `connection_name` that is sent to the server.
-    name: Option<String>,
+    connection_name: Option<String>,
 }
 
 /// The buffers and events are left out, since they may hold a password.
@@ -124,13 +124,13 @@
             last_sent: now,
             last_received: now,
             peer_properties: FieldTable::new(),
-            name: None,
+            connection_name: None,
         }
     }
 
     /// Client: sets the name that the server shows for the connection; `pipithub` by default.
     pub fn named(mut self, name: &str) -> Self {
-        self.name = Some(name.to_string());
+        self.connection_name = Some(name.to_string());
         self
     }
 
@@ -172,7 +172,7 @@
         self.events.pop_front()
     }
 
-    /// When [`Endpoint::on_time`] is to be called next; `None` if no timeout is pending.
+    /// When [`Endpoint::handle_timeout`] is to be called next; `None` if no timeout is pending.
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
             State::Closed => None,
@@ -189,7 +189,7 @@
 
     /// Handles timeouts: sends a heartbeat if one is due, ends a connection whose peer was silent for two heartbeat
     /// intervals (specification 4.2.7), and ends a handshake or closing that takes too long.
-    pub fn on_time(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         self.now = now;
         match self.state {
             State::Closed => {}
--- a/crates/pipithub-amqp/src/endpoint/handshake.rs
+++ b/crates/pipithub-amqp/src/endpoint/handshake.rs
@@ -195,7 +195,7 @@
 
     /// Client: sends the login and the client's properties.
     fn send_start_ok(&mut self) {
-        let name = self.name.as_deref().unwrap_or("pipithub");
+        let name = self.connection_name.as_deref().unwrap_or("pipithub");
         let client_properties = FieldTable::new()
             .with("connection_name", name)
             .with("product", "pipithub")
--- a/crates/pipithub-amqp/src/endpoint/receiving.rs
+++ b/crates/pipithub-amqp/src/endpoint/receiving.rs
@@ -108,12 +108,12 @@
 
     fn receive_method(&mut self, channel: u16, method: Method) -> Result<(), Fault> {
         let invalid = |text| Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
-        let is_theirs = match method.sender() {
+        let peer_may_send = match method.sender() {
             Sender::Both => true,
             Sender::Client => self.role == Role::Server,
             Sender::Server => self.role == Role::Client,
         };
-        if !is_theirs {
+        if !peer_may_send {
             return invalid(format!("{} may not come from this end", method.name()));
         }
         match (channel, method.id().class_id) {
--- a/crates/pipithub-amqp/src/endpoint/sending.rs
+++ b/crates/pipithub-amqp/src/endpoint/sending.rs
@@ -98,12 +98,12 @@
         method: &Method,
         has_content: bool,
     ) -> Result<(), SendError> {
-        let is_ours = match method.sender() {
+        let may_send = match method.sender() {
             Sender::Both => true,
             Sender::Client => self.role == Role::Client,
             Sender::Server => self.role == Role::Server,
         };
-        if !is_ours || method.has_content() != has_content {
+        if !may_send || method.has_content() != has_content {
             return Err(SendError::Misused(method.name()));
         }
         match (self.state, channel) {
--- a/crates/pipithub-amqp/src/method.rs
+++ b/crates/pipithub-amqp/src/method.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 
 use crate::value::{FieldTable, ShortStr};
-use crate::wire::{Field, Reader, SyntaxError, Writer};
+use crate::wire::{Argument, Reader, SyntaxError, Writer};
 
 /// The end of a connection that may send a method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -113,9 +113,9 @@
                     $(($class, $id) => {
                         let reader = &mut reader;
                         let body = |reader: &mut Reader<'_>| -> Result<Self, SyntaxError> {
-                            $(let _: $lead = Field::read(reader)?;)*
-                            $(let $field: $ty = Field::read(reader)?;)*
-                            $(let _: $trail = Field::read(reader)?;)*
+                            $(let _: $lead = Argument::read(reader)?;)*
+                            $(let $field: $ty = Argument::read(reader)?;)*
+                            $(let _: $trail = Argument::read(reader)?;)*
                             reader.finish()?;
                             Ok(Method::$name { $($field),* })
                         };
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -110,10 +110,10 @@
         Ok(octet >> used & 1 == 1)
     }
 
-    fn take(&mut self, length: usize, what: &'static str) -> Result<&'a [u8], SyntaxError> {
+    fn take(&mut self, length: usize, value_type: &'static str) -> Result<&'a [u8], SyntaxError> {
         self.bits = None;
         let taken: Result<&'a [u8], EmptyError> = take(length).parse_next(&mut self.input);
-        taken.map_err(|_| SyntaxError::Truncated(what))
+        taken.map_err(|_| SyntaxError::Truncated(value_type))
     }
 
     /// Decodes a short string, which must be UTF-8.
@@ -150,13 +150,13 @@
         Ok(values)
     }
 
-    fn nested(&mut self, what: &'static str) -> Result<Reader<'a>, SyntaxError> {
+    fn nested(&mut self, value_type: &'static str) -> Result<Reader<'a>, SyntaxError> {
         if self.depth >= MAX_DEPTH {
             return Err(SyntaxError::TooDeep);
         }
         let length = self.u32()? as usize;
         Ok(Reader {
-            input: self.take(length, what)?,
+            input: self.take(length, value_type)?,
             bits: None,
             depth: self.depth + 1,
         })
@@ -342,7 +342,7 @@
 }
 
 /// A type of method arguments.
-pub trait Field: Sized {
+pub trait Argument: Sized {
     /// Decodes an argument of this type.
     ///
     /// # Errors
@@ -352,9 +352,9 @@
     fn write(&self, writer: &mut Writer<'_>);
 }
 
-macro_rules! fields {
+macro_rules! arguments {
     ($($ty:ty: $name:ident, $write:expr;)*) => {
-        $(impl Field for $ty {
+        $(impl Argument for $ty {
             fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError> {
                 reader.$name()
             }
@@ -366,7 +366,7 @@
     };
 }
 
-fields! {
+arguments! {
     u8: u8, |value, writer| writer.u8(*value);
     u16: u16, |value, writer| writer.u16(*value);
     u32: u32, |value, writer| writer.u32(*value);
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -217,12 +217,12 @@
     #[test]
     fn independent_codec_agrees_on_random_frames(frame in frame()) {
         let bytes = bytes_of(&frame);
-        let (rest, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect("decoded");
+        let (rest, decoded) = amq_protocol::frame::parse_frame(&bytes[..]).expect("decoded");
         prop_assert!(rest.is_empty());
-        let output = amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
-        let (again, _) = output.expect("encoded").into_inner();
-        prop_assert_eq!(&again[..], &bytes[..]);
-        prop_assert_eq!(decode(&again), Ok(Some(frame)));
+        let output = amq_protocol::frame::gen_frame(&decoded)(cookie_factory::WriteContext::from(Vec::new()));
+        let (reencoded, _) = output.expect("encoded").into_inner();
+        prop_assert_eq!(&reencoded[..], &bytes[..]);
+        prop_assert_eq!(decode(&reencoded), Ok(Some(frame)));
     }
 }
 
@@ -233,9 +233,10 @@
             channel: 1,
             payload: Payload::Method(minimal_method(*id)),
         });
-        let (_, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect(name);
-        let output =
-            amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
+        let (_, decoded) = amq_protocol::frame::parse_frame(&bytes[..]).expect(name);
+        let output = amq_protocol::frame::gen_frame(&decoded)(cookie_factory::WriteContext::from(
+            Vec::new(),
+        ));
         assert_eq!(output.expect(name).into_inner().0, bytes, "{name}");
     }
 }
--- a/crates/pipithub-amqp/tests/endpoints/connections.rs
+++ b/crates/pipithub-amqp/tests/endpoints/connections.rs
@@ -197,8 +197,8 @@
             .next_timeout()
             .expect("open")
             .min(pair.server.next_timeout().expect("open"));
-        pair.client.on_time(now);
-        pair.server.on_time(now);
+        pair.client.handle_timeout(now);
+        pair.server.handle_timeout(now);
         let to_server = pair.client.take_output(now);
         if !to_server.is_empty() {
             pair.server.receive(now, &to_server);
@@ -212,7 +212,7 @@
     // Then the client sends nothing.
     while let Some(due) = pair.server.next_timeout() {
         assert!(due <= now + 25 * SECOND, "the connection is still open");
-        pair.server.on_time(due);
+        pair.server.handle_timeout(due);
     }
     assert!(matches!(
         pair.server.poll_event(),
@@ -225,7 +225,7 @@
     let mut server = Endpoint::server(Tuning::default(), 0);
     server.receive(0, b"AMQP");
     let due = server.next_timeout().expect("a timeout of the handshake");
-    server.on_time(due);
+    server.handle_timeout(due);
     assert!(server.is_closed());
 }
 
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -179,7 +179,7 @@
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         if let Some(endpoint) = &mut self.endpoint {
-            endpoint.on_time(now);
+            endpoint.handle_timeout(now);
         }
         self.handle_events();
         if let Phase::Paused { resume_at, .. } = &mut self.phase {
--- a/crates/pipithub-emulator/src/broker/connection.rs
+++ b/crates/pipithub-emulator/src/broker/connection.rs
@@ -69,7 +69,7 @@
                 }
                 wrote = writer.write(&output), if !output.is_empty() => output.advance(wrote?),
                 () = notify.notified() => {}
-                () = clock.sleep_until(self.endpoint.next_timeout()) => self.endpoint.on_time(clock.now()),
+                () = clock.sleep_until(self.endpoint.next_timeout()) => self.endpoint.handle_timeout(clock.now()),
             }
         }
     }
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -94,7 +94,7 @@
         tenants: config
             .tenants
             .iter()
-            .map(|tenant| tenant.place.clone())
+            .map(|tenant| tenant.search_base.clone())
             .collect(),
         max_users: config.max_users,
         max_queue: MAX_QUEUED_USERS,
--- a/crates/pipithub-gateway/src/directory/connection.rs
+++ b/crates/pipithub-gateway/src/directory/connection.rs
@@ -139,7 +139,7 @@
     match directory.tls {
         Tls::None => return Ok(Box::new(plain)),
         Tls::Ldaps => {}
-        Tls::Start => start_tls(&mut plain).await?,
+        Tls::StartTls => start_tls(&mut plain).await?,
     }
     let name = ServerName::try_from(server.name.clone())?;
     Ok(Box::new(tls.connect(name, plain).await?))
--- a/crates/pipithub-gateway/src/directory/pending_search.rs
+++ b/crates/pipithub-gateway/src/directory/pending_search.rs
@@ -103,7 +103,7 @@
     fn handle_base_entry(&mut self, directory: &DirectoryConfig, entry: &Entry) {
         self.response.base_exists = true;
         let marks = directory
-            .mark_attribute
+            .change_number_attribute
             .iter()
             .flat_map(|attribute| entry.values(attribute));
         self.response.change_number = marks
--- a/crates/pipithub-gateway/src/directory/runtime.rs
+++ b/crates/pipithub-gateway/src/directory/runtime.rs
@@ -142,7 +142,7 @@
             };
             self.start_server(key, &directory, tls.clone(), tasks);
         }
-        if directory.follow {
+        if directory.content_sync {
             let follower = Follower {
                 directory,
                 number,
--- a/crates/pipithub-gateway/src/directory/searches.rs
+++ b/crates/pipithub-gateway/src/directory/searches.rs
@@ -28,7 +28,7 @@
 
 /// The search for the state of a server: whether the base of its tree exists, and its change number.
 pub(super) fn state_search(directory: &DirectoryConfig) -> Search {
-    let mark = directory.mark_attribute.clone();
+    let mark = directory.change_number_attribute.clone();
     Search {
         base: directory.base.clone(),
         scope: SearchRequestScope::BaseObject,
--- a/crates/pipithub-gateway/src/directory/snapshots.rs
+++ b/crates/pipithub-gateway/src/directory/snapshots.rs
@@ -95,7 +95,7 @@
     pub(super) fn new(config: &Arc<TenantsConfig>, front_end: &str, clock: Clock) -> Option<Self> {
         let settings = config.snapshot.clone()?;
         let target = Target::new(snapshot_file(&settings, front_end), Durability::Synced);
-        let period = Duration::from_nanos(settings.every);
+        let period = Duration::from_nanos(settings.interval);
         let mut interval = interval_at(Instant::now() + period, period);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Some(SnapshotWriter {
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -86,7 +86,7 @@
             classes: config.classes.clone(),
             clock,
             engine: new_engine(config, seed, baseline),
-            drain: config.drain,
+            drain: config.drain_timeout,
             workers: Arc::new(WorkerClient::new(name, config.http, clock)),
             inputs,
             inputs_sender,
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -54,7 +54,7 @@
         RejectReason::NoUser => Cause::NoUser,
         RejectReason::UnknownUser => Cause::UserUnknown,
         RejectReason::NoTenant => Cause::NoTenant,
-        RejectReason::ClaimedTwice => Cause::AmbiguousTenant,
+        RejectReason::AmbiguousTenant => Cause::AmbiguousTenant,
         RejectReason::OtherTenant => Cause::OtherTenant,
         RejectReason::OverQuota => Cause::OverQuota,
         RejectReason::OverRate => Cause::OverRate,
--- a/crates/pipithub-membership-runtime/src/driver.rs
+++ b/crates/pipithub-membership-runtime/src/driver.rs
@@ -68,7 +68,7 @@
     pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
         info!(
             front_end = self.name(),
-            cluster = self.config.members.cluster,
+            cluster = self.config.membership.cluster,
             address = self.listen_address(),
             "membership started"
         );
@@ -140,7 +140,12 @@
         for output in std::mem::take(&mut self.outputs) {
             match output {
                 Output::Send { to, bytes } => {
-                    let to = self.config.via.get(&to).copied().unwrap_or(to);
+                    let to = self
+                        .config
+                        .address_overrides
+                        .get(&to)
+                        .copied()
+                        .unwrap_or(to);
                     if let Err(error) = self.socket.send_to(&bytes, to).await {
                         debug!(front_end = self.name(), %to, %error, "failed to send datagram");
                     }
@@ -189,7 +194,7 @@
         self.last_report = now;
         self.changed_since_report = false;
         let view = self.membership.view(now);
-        let cluster = &self.config.members.cluster;
+        let cluster = &self.config.membership.cluster;
         let report = self
             .events
             .report(cluster, &self.listen_address(), &view, wall_ms());
--- a/crates/pipithub-membership-runtime/src/runtime.rs
+++ b/crates/pipithub-membership-runtime/src/runtime.rs
@@ -80,11 +80,11 @@
         config: FleetSettings,
         files: Arc<dyn FileSystem>,
     ) -> Result<MembershipRuntime, RuntimeError> {
-        let folder = DataFolder::lock(&config.data)?;
+        let folder = DataFolder::lock(&config.data_folder)?;
         let stored = folder.read_generation()?;
-        let next = GenerationRecord::next(stored.as_deref(), &config.members.cluster, name)
+        let next = GenerationRecord::next(stored.as_deref(), &config.membership.cluster, name)
             .map_err(|source| RuntimeError::Record {
-                path: config.data.join(GENERATION_FILE),
+                path: config.data_folder.join(GENERATION_FILE),
                 source,
             })?;
         let socket_error = |source| RuntimeError::Socket {
@@ -102,7 +102,7 @@
             renewal: 0,
             disk: next.disk,
         };
-        let membership = Membership::new(config.members.clone(), identity, random_number()?)?;
+        let membership = Membership::new(config.membership.clone(), identity, random_number()?)?;
         let (view_sender, view) = watch::channel(None);
         let (stop, stopped) = watch::channel(false);
         let generation_saver = folder.start_generation_saver(files);
--- a/crates/pipithub-membership-runtime/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -91,7 +91,7 @@
 
 fn settings(data: &Path, seed: SocketAddr) -> FleetSettings {
     FleetSettings {
-        members: Settings {
+        membership: Settings {
             cluster: "campus".into(),
             seeds: vec![seed],
             ..Settings::default()
@@ -99,8 +99,8 @@
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         advertise: None,
         zone: String::new(),
-        data: data.to_path_buf(),
-        via: BTreeMap::new(),
+        data_folder: data.to_path_buf(),
+        address_overrides: BTreeMap::new(),
     }
 }
 
--- a/crates/pipithub-scenario/src/client/connection.rs
+++ b/crates/pipithub-scenario/src/client/connection.rs
@@ -87,7 +87,7 @@
                     Some(request) => unsent.push_back(request),
                     None => std::future::pending().await,
                 },
-                () = clock.sleep_until(session.endpoint.next_timeout()) => session.endpoint.on_time(clock.now()),
+                () = clock.sleep_until(session.endpoint.next_timeout()) => session.endpoint.handle_timeout(clock.now()),
             }
         }
     }
--- a/crates/pipithub-scenario/src/document.rs
+++ b/crates/pipithub-scenario/src/document.rs
@@ -4,7 +4,7 @@
 
 use kdl::{KdlDocument, KdlNode};
 use miette::{Diagnostic, NamedSource, SourceSpan};
-use pipithub_settings::duration;
+use pipithub_settings::parse_duration;
 
 /// An invalid scenario file: what is wrong, and where.
 #[derive(Debug, thiserror::Error, Diagnostic)]
@@ -136,7 +136,7 @@
     /// A duration property such as `"2s"`, in nanoseconds. Fails if it is invalid, or missing without a default.
     pub(crate) fn duration(&self, name: &str, default: Option<u64>) -> ParseResult<u64> {
         let value = self.kdl.get(name);
-        let parsed = value.and_then(|v| v.as_string()).and_then(duration);
+        let parsed = value.and_then(|v| v.as_string()).and_then(parse_duration);
         match (value, parsed, default) {
             (None, _, Some(default)) => Ok(default),
             (Some(_), Some(parsed), _) => Ok(parsed),
--- a/crates/pipithub-settings/src/amqp.rs
+++ b/crates/pipithub-settings/src/amqp.rs
@@ -64,12 +64,12 @@
     let dead_letter = node
         .child("dead-letter")
         .map(|target| read_dead_letter(&target));
-    let ways = [("channel", Qos::Channel), ("consumer", Qos::Consumer)];
+    let qos_choices = [("channel", Qos::Channel), ("consumer", Qos::Consumer)];
     let queue = QueueConfig {
         name: node.name(),
         declare: node.flag("declare", true),
         prefetch,
-        qos: node.choice("qos", Qos::Channel, &ways),
+        qos: node.choice("qos", Qos::Channel, &qos_choices),
         route: Route {
             tenant: context.tenants.read_reference(node),
             ..route::read(node, context)
--- a/crates/pipithub-settings/src/config.rs
+++ b/crates/pipithub-settings/src/config.rs
@@ -142,7 +142,7 @@
     /// The front end's membership in a fleet; `None` if it exchanges nothing with other front ends.
     pub fleet: Option<FleetSettings>,
     /// How long a graceful shutdown waits for pending requests, in nanoseconds.
-    pub drain: Time,
+    pub drain_timeout: Time,
 }
 
 impl Config {
--- a/crates/pipithub-settings/src/document.rs
+++ b/crates/pipithub-settings/src/document.rs
@@ -72,7 +72,7 @@
         http,
         log,
         fleet,
-        drain: front_end.drain,
+        drain_timeout: front_end.drain_timeout,
     }
 }
 
@@ -81,7 +81,7 @@
     name: String,
     instances: u32,
     peers: u32,
-    drain: Time,
+    drain_timeout: Time,
 }
 
 fn read_front_end(root: &Reader<'_>) -> FrontEndSection {
@@ -93,13 +93,13 @@
     };
     let instances = node.integer("instances", 1, 1..=64) as u32;
     let peers = node.integer("peers", u64::from(instances), 1..=1_000_000) as u32;
-    let drain = node.duration("drain", 10 * SECOND, 0..=600 * SECOND);
+    let drain_timeout = node.duration("drain", 10 * SECOND, 0..=600 * SECOND);
     node.finish();
     FrontEndSection {
         name,
         instances,
         peers,
-        drain,
+        drain_timeout,
     }
 }
 
--- a/crates/pipithub-settings/src/duration.rs
+++ b/crates/pipithub-settings/src/duration.rs
@@ -14,7 +14,7 @@
 /// Parses a duration such as `250us`, `250ms`, `1.5s`, `10m` or `2h`, in nanoseconds.
 ///
 /// Returns `None` for other texts, and for durations that are negative or longer than a day.
-pub fn duration(text: &str) -> Option<Time> {
+pub fn parse_duration(text: &str) -> Option<Time> {
     let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
     let number: f64 = text[..unit_start].trim().parse().ok()?;
     let nanoseconds_per_unit = match &text[unit_start..] {
@@ -29,7 +29,7 @@
     (time.is_finite() && (0.0..=DAY as f64).contains(&time)).then_some(time as Time)
 }
 
-/// Formats a duration so that [`duration`] can parse it.
+/// Formats a duration so that [`parse_duration`] can parse it.
 pub(crate) fn format_duration(time: Time) -> String {
     if time.is_multiple_of(SECOND) {
         format!("{}s", time / SECOND)
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
     /// The settings of the membership protocol.
-    pub members: Settings,
+    pub membership: Settings,
     /// The local address at which datagrams are received.
     pub listen: SocketAddr,
     /// The address that is announced to other members; `None` announces `listen`.
@@ -21,9 +21,9 @@
     /// The zone in which the front end runs; empty if it is not given.
     pub zone: String,
     /// The data folder, which no other process may use.
-    pub data: PathBuf,
+    pub data_folder: PathBuf,
     /// Addresses that are reached through another address, such as that of a proxy in a test.
-    pub via: BTreeMap<SocketAddr, SocketAddr>,
+    pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 /// Reads the node; `None` if there is none, or if a fault was reported that leaves the settings incomplete.
@@ -33,11 +33,11 @@
     let listen = read_listen(&node);
     let advertise = read_child_address(&node, "advertise");
     check_reachable(&node, listen, advertise);
-    let data = read_data_folder(&node);
+    let data_folder = read_data_folder(&node);
     let seeds = read_seeds(&node);
-    let via = read_via(&node);
-    let members = read_members(&node, cluster, seeds);
-    check_members(&node, &members);
+    let address_overrides = read_address_overrides(&node);
+    let membership = read_membership(&node, cluster, seeds);
+    check_membership(&node, &membership);
     if instances > 1 {
         let help =
             "run one front end in each process: its name identifies one process and one folder";
@@ -46,12 +46,12 @@
     let zone = node.text("zone").unwrap_or_default();
     node.finish();
     Some(FleetSettings {
-        members,
+        membership,
         listen: listen?,
         advertise,
         zone,
-        data: data?,
-        via,
+        data_folder: data_folder?,
+        address_overrides,
     })
 }
 
@@ -117,26 +117,26 @@
     seeds
 }
 
-fn read_via(node: &Reader<'_>) -> BTreeMap<SocketAddr, SocketAddr> {
-    let mut via = BTreeMap::new();
-    for route in node.children("via") {
-        let target = route.text("to").and_then(|text| text.parse().ok());
-        match (read_address(&route), target) {
-            (Some(address), Some(_)) if via.contains_key(&address) => {
-                route.fault(format!("'via' of {address} is given twice"));
+fn read_address_overrides(node: &Reader<'_>) -> BTreeMap<SocketAddr, SocketAddr> {
+    let mut overrides = BTreeMap::new();
+    for override_node in node.children("via") {
+        let target = override_node.text("to").and_then(|text| text.parse().ok());
+        match (read_address(&override_node), target) {
+            (Some(address), Some(_)) if overrides.contains_key(&address) => {
+                override_node.fault(format!("'via' of {address} is given twice"));
             }
             (Some(address), Some(target)) => {
-                via.insert(address, target);
+                overrides.insert(address, target);
             }
-            (Some(_), None) => route.fault("'via' needs 'to' with an address"),
+            (Some(_), None) => override_node.fault("'via' needs 'to' with an address"),
             (None, _) => {}
         }
-        route.finish();
+        override_node.finish();
     }
-    via
+    overrides
 }
 
-fn read_members(node: &Reader<'_>, cluster: String, seeds: Vec<SocketAddr>) -> Settings {
+fn read_membership(node: &Reader<'_>, cluster: String, seeds: Vec<SocketAddr>) -> Settings {
     let defaults = Settings::default();
     let max_members = defaults.max_members as u64;
     Settings {
@@ -154,8 +154,8 @@
     }
 }
 
-fn check_members(node: &Reader<'_>, members: &Settings) {
-    let Err(error) = members.validate() else {
+fn check_membership(node: &Reader<'_>, membership: &Settings) {
+    let Err(error) = membership.validate() else {
         return;
     };
     let span = match error {
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -22,7 +22,7 @@
 pub use config::{
     AmqpConfig, Config, CronConfig, FixedWorker, HttpConfig, LogConfig, QueueConfig, WorkersConfig,
 };
-pub use duration::duration;
+pub use duration::parse_duration;
 pub use fault::{Fault, FaultLine, Faults};
 pub use fleet::FleetSettings;
 pub use tenants::{
--- a/crates/pipithub-settings/src/reader.rs
+++ b/crates/pipithub-settings/src/reader.rs
@@ -8,7 +8,7 @@
 use miette::SourceSpan;
 use pipithub_engine::Time;
 
-use crate::duration::{duration, format_duration};
+use crate::duration::{format_duration, parse_duration};
 use crate::fault::{FaultCollector, start_of_file};
 use crate::suggestion::suggest;
 
@@ -239,7 +239,7 @@
             format_duration(*range.end())
         );
         let convert = |value: &KdlValue| {
-            let time = duration(value.as_string()?)?;
+            let time = parse_duration(value.as_string()?)?;
             range.contains(&time).then_some(time)
         };
         self.converted(name, &expected, convert)
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -18,7 +18,7 @@
 };
 use crate::fault::start_of_file;
 use crate::reader::Reader;
-use crate::tenants::directory::WrittenDn;
+use crate::tenants::directory::ParsedDn;
 
 /// The tenants, and what other nodes need to refer to them.
 pub(crate) struct Tenants {
@@ -136,7 +136,7 @@
         node.fault_with_help(format!("tenant '{name}' needs 'directory'"), help);
         return None;
     };
-    let WrittenBase { place, text } = read_base(&base_node, directories, known);
+    let ParsedBase { search_base, text } = read_base(&base_node, directories, known);
     let functions: Vec<String> = node.children("function").iter().map(Reader::name).collect();
     let number = Tenant(known.len() as u16);
     for function in &functions {
@@ -149,14 +149,14 @@
     Some(TenantConfig {
         name,
         functions,
-        place,
+        search_base,
         base: text,
     })
 }
 
 /// The base of a tenant, parsed and as it is written.
-struct WrittenBase {
-    place: TenantBase,
+struct ParsedBase {
+    search_base: TenantBase,
     text: String,
 }
 
@@ -165,7 +165,7 @@
     node: &Reader<'_>,
     directories: &[DirectoryConfig],
     known: &[TenantConfig],
-) -> WrittenBase {
+) -> ParsedBase {
     let found = directories
         .iter()
         .position(|known| known.name == node.name());
@@ -173,7 +173,7 @@
         node.fault(format!("there is no directory '{}'", node.name()));
     }
     let directory = found.unwrap_or(0);
-    let WrittenDn { text, dn: base } = directory::read_dn(node, "base");
+    let ParsedDn { text, dn: base } = directory::read_dn(node, "base");
     node.finish();
     let directory_base = directories
         .get(directory)
@@ -182,11 +182,14 @@
     if !base.is_within(&directory_base) {
         node.fault("this base is not within the directory's");
     }
-    let place = TenantBase { directory, base };
-    if let Some(other) = known.iter().find(|tenant| tenant.place == place) {
+    let search_base = TenantBase { directory, base };
+    if let Some(other) = known
+        .iter()
+        .find(|tenant| tenant.search_base == search_base)
+    {
         node.fault(format!("tenant '{}' has this base already", other.name));
     }
-    WrittenBase { place, text }
+    ParsedBase { search_base, text }
 }
 
 /// Reads the nodes `shared-function`, which name functions that every tenant may run.
--- a/crates/pipithub-settings/src/tenants/admission.rs
+++ b/crates/pipithub-settings/src/tenants/admission.rs
@@ -55,7 +55,7 @@
 
 fn read_snapshot(node: &Reader<'_>) -> SnapshotConfig {
     let path = PathBuf::from(node.name());
-    let every = node.duration("every", 60 * SECOND, SECOND..=DAY);
+    let interval = node.duration("every", 60 * SECOND, SECOND..=DAY);
     let key = node.child("key").map(|key_node| {
         let key = secret::read_key(&key_node, "the snapshot's key");
         key_node.finish();
@@ -68,7 +68,7 @@
     SnapshotConfig {
         path,
         key: key.unwrap_or_default(),
-        every,
+        interval,
     }
 }
 
--- a/crates/pipithub-settings/src/tenants/config.rs
+++ b/crates/pipithub-settings/src/tenants/config.rs
@@ -14,7 +14,7 @@
     /// Connections are not encrypted; for loopback and tests.
     None,
     /// Connections to the plain port are upgraded by `StartTLS`.
-    Start,
+    StartTls,
     /// Connections use TLS from the first byte.
     Ldaps,
 }
@@ -67,9 +67,9 @@
     pub filter: Option<String>,
     /// The attribute of the base entry that shows how current a server's copy is; `None` if lagging copies are not
     /// detected.
-    pub mark_attribute: Option<String>,
+    pub change_number_attribute: Option<String>,
     /// Whether the directory is followed by content synchronization (RFC 4533).
-    pub follow: bool,
+    pub content_sync: bool,
     /// The number of connections to each server.
     pub connections: usize,
     /// The settings of look-ups in the directory.
@@ -84,7 +84,7 @@
     /// The functions that the tenant owns, as written: names, or prefixes that end in `*`.
     pub functions: Vec<String>,
     /// The directory and the base of the tenant's entries.
-    pub place: TenantBase,
+    pub search_base: TenantBase,
     /// The distinguished name of that base, as written.
     pub base: String,
 }
@@ -97,7 +97,7 @@
     /// The key of the seal, at least 16 bytes.
     pub key: Vec<u8>,
     /// The interval between two snapshots, in nanoseconds.
-    pub every: Time,
+    pub interval: Time,
 }
 
 impl fmt::Debug for SnapshotConfig {
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -14,7 +14,7 @@
 const MAX_SERVERS: usize = 32;
 const TLS_CHOICES: [(&str, Tls); 3] = [
     ("none", Tls::None),
-    ("start", Tls::Start),
+    ("start", Tls::StartTls),
     ("ldaps", Tls::Ldaps),
 ];
 const MINUTE_MS: i64 = 60_000;
@@ -22,7 +22,7 @@
 pub(super) fn read(node: &Reader<'_>) -> DirectoryConfig {
     let name = node.name();
     let servers = read_servers(node, &name);
-    let tls = node.choice("tls", Tls::Start, &TLS_CHOICES);
+    let tls = node.choice("tls", Tls::StartTls, &TLS_CHOICES);
     let ca = read_ca(node, tls, &name);
     let bind = node.child("bind").map(|bind| read_bind(&bind));
     let filter = read_filter(node);
@@ -34,8 +34,8 @@
         base: read_dn(node, "base").text,
         user_attribute: node.text("user-attribute").unwrap_or_else(|| "uid".into()),
         filter,
-        mark_attribute: node.text("mark-attribute"),
-        follow: node.flag("follow", false),
+        change_number_attribute: node.text("mark-attribute"),
+        content_sync: node.flag("follow", false),
         connections: node.integer("connections", 2, 1..=16) as usize,
         lookups,
         servers,
@@ -47,23 +47,23 @@
 
 /// A distinguished name, as written and as parsed.
 #[derive(Default)]
-pub(super) struct WrittenDn {
+pub(super) struct ParsedDn {
     pub(super) text: String,
     pub(super) dn: Dn,
 }
 
-pub(super) fn read_dn(node: &Reader<'_>, name: &str) -> WrittenDn {
+pub(super) fn read_dn(node: &Reader<'_>, name: &str) -> ParsedDn {
     let Some(given) = node.value(name) else {
         let help = "a distinguished name, as \"ou=north,dc=example\"";
         node.fault_with_help(format!("'{}' needs '{name}'", node.node_name()), help);
-        return WrittenDn::default();
+        return ParsedDn::default();
     };
     let text = given.text().to_string();
     let dn = Dn::parse(&text).unwrap_or_else(|error| {
         node.fault_at(given.span, error.to_string(), None);
         Dn::default()
     });
-    WrittenDn { text, dn }
+    ParsedDn { text, dn }
 }
 
 fn read_servers(node: &Reader<'_>, directory: &str) -> Vec<ServerConfig> {
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Tests of valid and invalid settings files.
 
 use pipithub_engine::policy::Idempotency;
-use pipithub_settings::{Config, FaultLine, WorkersConfig, duration};
+use pipithub_settings::{Config, FaultLine, WorkersConfig, parse_duration};
 
 /// The first line of the node `amqp` in the valid file.
 const AMQP_LINE: usize = 9;
@@ -107,21 +107,21 @@
 
 #[test]
 fn invalid_class_is_reported_with_line_and_reason() {
-    let view = |contents: &str, message: &str| {
+    let expect_class_fault = |contents: &str, message: &str| {
         expect_fault(3, &format!("class \"view\" {{ {contents} }}"), message);
     };
-    view("effect \"risky\"", "'effect' cannot be");
-    view("aim \"1s\"", "needs 'effect'");
-    view("effect \"safe\"; aim \"1 parsec\"", "'aim' cannot be");
-    view(
+    expect_class_fault("effect \"risky\"", "'effect' cannot be");
+    expect_class_fault("aim \"1s\"", "needs 'effect'");
+    expect_class_fault("effect \"safe\"; aim \"1 parsec\"", "'aim' cannot be");
+    expect_class_fault(
         "effect \"safe\"; aim \"5s\"; give-up \"1s\"",
         "give-up (1s) is before aim (5s)",
     );
-    view(
+    expect_class_fault(
         "effect \"safe\"; aim \"1s\"; aim \"2s\"",
         "'aim' is given twice",
     );
-    view("effect \"safe\"; dedup-window \"2s\"", "only a keyed class");
+    expect_class_fault("effect \"safe\"; dedup-window \"2s\"", "only a keyed class");
     expect_fault(
         5,
         "class \"change\" { effect \"keyed\" }",
@@ -200,10 +200,10 @@
 
 #[test]
 fn durations_are_parsed_and_invalid_ones_rejected() {
-    assert_eq!(duration("250ms"), Some(250_000_000));
-    assert_eq!(duration("1.5s"), Some(1_500_000_000));
+    assert_eq!(parse_duration("250ms"), Some(250_000_000));
+    assert_eq!(parse_duration("1.5s"), Some(1_500_000_000));
     for invalid in ["", "5", "ms", "-1s", "1e99h", "1 day", "NaNs", "infs"] {
-        assert_eq!(duration(invalid), None, "{invalid}");
+        assert_eq!(parse_duration(invalid), None, "{invalid}");
     }
 }
 
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -59,7 +59,7 @@
         let fleet = config.fleet.ok_or_else(|| {
             miette!("these settings have no fleet: this front end has no membership")
         })?;
-        let bytes = DataFolder::read_report(&fleet.data)
+        let bytes = DataFolder::read_report(&fleet.data_folder)
             .into_diagnostic()
             .wrap_err("found no membership report; has this front end ever been started?")?;
         let report = serde_json::from_slice(&bytes)
@@ -67,7 +67,7 @@
             .wrap_err("failed to parse the membership report")?;
         Ok(LatestReport {
             report,
-            running: DataFolder::in_use(&fleet.data),
+            running: DataFolder::in_use(&fleet.data_folder),
         })
     }
 }
--- a/crates/pipithub/src/tenants/check.rs
+++ b/crates/pipithub/src/tenants/check.rs
@@ -79,7 +79,7 @@
         if !answer.base_exists {
             return Err(ServerFault::NoBase(directory.base.clone()));
         }
-        if directory.mark_attribute.is_some() && answer.change_number.is_none() {
+        if directory.change_number_attribute.is_some() && answer.change_number.is_none() {
             return Err(ServerFault::NoMark);
         }
         if answer.change_number < newest_change {
--- a/crates/pipithub/src/tenants/explain.rs
+++ b/crates/pipithub/src/tenants/explain.rs
@@ -54,7 +54,11 @@
     let directories = tenants.directories.iter();
     Directory::new(Settings {
         directories: directories.map(|one| one.lookups.clone()).collect(),
-        tenants: tenants.tenants.iter().map(|t| t.place.clone()).collect(),
+        tenants: tenants
+            .tenants
+            .iter()
+            .map(|t| t.search_base.clone())
+            .collect(),
         max_users: MAX_USERS,
         max_queue: MAX_QUEUE,
         seed: 1,
--- a/crates/pipithub/src/tenants/show.rs
+++ b/crates/pipithub/src/tenants/show.rs
@@ -26,7 +26,7 @@
             "{:<16} {:>5.1}% {rate:>12} {max_in_flight:>13}  {:<12} {}",
             tenant.name,
             quota.weight / weights * 100.0,
-            config.directories[tenant.place.directory].name,
+            config.directories[tenant.search_base.directory].name,
             tenant.functions.join(" ")
         );
         println!("{:<16} {}", "", tenant.base);
