--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! Finds the tenant of each request and passes it on to the quota of that tenant.
+//! Finds the tenant of each request and offers the request to the quota of that tenant.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 const MAX_REFRESHES: usize = 4_096;
 /// How long the client of an unknown user should wait before it retries. By then the directories may have answered.
 const UNKNOWN_USER_RETRY_AFTER: Time = SECOND;
-/// A request may wait for the look-up of its user for this part of its remaining time.
+/// A request waits for the look-up of its user for at most its remaining time divided by this.
 const IDENTITY_WAIT_DIVISOR: Time = 4;
 
 /// The settings of admission control.
@@ -34,12 +34,14 @@
 struct Pending<T> {
     arrival: Arrival<T>,
     arrived_at: Time,
-    /// The person that the user name stood for when the request was judged; `None` before, and without a user.
+    /// The person that the user name referred to when the request was offered to the quota of its tenant; `None` before
+    /// that, and if the request states no user.
     person: Option<PersonId>,
 }
 
 impl<T> Pending<T> {
-    /// Whether its user is still the same person and belongs to the same tenant as when the request was judged.
+    /// Whether the user is still the same person and belongs to the same tenant as when the request was offered to the
+    /// quota. Always true for a request without a user.
     fn still_belongs_to(&self, tenant: usize, roster: &Roster, now: Time) -> bool {
         let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
             return true;
@@ -80,9 +82,9 @@
     settings: AdmissionSettings,
     pending_lookups: PendingLookups<Pending<T>>,
     quotas: Quotas<Pending<T>>,
-    /// When the refresh of a known user was last asked for, so that a busy user is not refreshed with each request.
+    /// When a refresh of a known user was last requested, so that a busy user is not refreshed with each request.
     refreshes: BTreeMap<User, Time>,
-    /// Empty between calls; kept so that its memory is used again.
+    /// Empty between calls; kept to reuse its allocation.
     decisions: Vec<Decision<Pending<T>>>,
 }
 
@@ -135,7 +137,7 @@
         let until = now + self.settings.max_identity_wait.min(max_wait);
         match self.pending_lookups.add(now, until, user.clone(), pending) {
             Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
-            // The limit on waiting requests is reached, so the request is judged by what is known now.
+            // The limit on waiting requests is reached, so the request is decided by what is known now.
             Err(pending) => self.apply_resolution(now, roster, resolution, pending, outputs),
         }
     }
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Whether a request has to wait for the look-up of its user. Also asks for a refresh that it need not wait for.
+    /// Whether a request has to wait for the look-up of its user. Also requests a background refresh if one is due.
     fn needs_lookup(
         &mut self,
         now: Time,
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Whether the refresh of a user may be asked for again, which is recorded as done now.
+    /// Whether a refresh of the user may be requested now. Records it, unless too many refreshes are remembered.
     fn may_refresh(&mut self, now: Time, user: &User) -> bool {
         let is_recent = |at: Time| now < at + MIN_REFRESH_INTERVAL;
         if self.refreshes.get(user).is_some_and(|at| is_recent(*at)) {
@@ -193,7 +195,7 @@
         true
     }
 
-    /// Rejects a request or offers it to the quota of its tenant, by what is known of its user.
+    /// Offers a request to the quota of its tenant, or rejects it, depending on the resolution of its user.
     fn apply_resolution(
         &mut self,
         now: Time,
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Admits a request that its quota allows, unless its user was migrated while it waited.
+    /// Admits a request that its quota allows. Rejects it if its user is no longer the same person of the same tenant.
     fn admit(
         &mut self,
         now: Time,
@@ -280,7 +282,8 @@
         pending.reject(reason, 0)
     }
 
-    /// Handles an update of what is known of a user: requests that wait for the look-up are judged by it.
+    /// Handles an update of what is known of a user: the requests that wait for the look-up of the user are offered to
+    /// quotas or rejected.
     pub fn user_updated(
         &mut self,
         now: Time,
@@ -294,7 +297,7 @@
         }
     }
 
-    /// Handles that an admitted request has its final answer, which frees its place in the quota.
+    /// Handles the final answer of an admitted request, which frees its place in the quota.
     pub fn completed(
         &mut self,
         now: Time,
@@ -313,11 +316,12 @@
         self.apply_decisions(now, roster, outputs);
     }
 
-    /// Handles what is due: look-ups that took too long, waits in queues that are over, and quota that became free.
+    /// Handles what is due: look-ups that took too long, queued requests that may start, and those that waited too
+    /// long.
     pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
         for ended in self.pending_lookups.expire(now) {
-            // A stale record is still better than a rejection; the roster does not return records beyond their hard
-            // limit.
+            // A stale record is still better than a rejection; the roster does not return records that are too old to
+            // be used.
             let resolution = roster.resolve(&ended.user, now);
             self.apply_resolution(now, roster, resolution, ended.request, outputs);
         }
--- a/crates/pipithub-admission/src/outputs.rs
+++ b/crates/pipithub-admission/src/outputs.rs
@@ -22,15 +22,15 @@
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// Neither the request nor its route states to whom it belongs.
+    /// The request states no user, and its route belongs to no tenant.
     NoUser,
     /// No directory answered in time which tenant the user belongs to.
     UnknownUser,
     /// The user belongs to no tenant.
     NoTenant,
-    /// The directories of more than one tenant have the user.
+    /// The user is found in more than one tenant.
     AmbiguousTenant,
-    /// The route belongs to another tenant than the user.
+    /// The route belongs to a different tenant than the user.
     OtherTenant,
     /// The tenant has used up its quota, and its queue is full or the request waited in it for too long.
     OverQuota,
@@ -38,14 +38,14 @@
     OverRate,
 }
 
-/// What admission control found out about an admitted request.
+/// What admission control determined about an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
     /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// The person that the user name stands for; `None` if the request states no user.
+    /// The person that the user name refers to; `None` if the request states no user.
     pub person: Option<PersonId>,
-    /// The time that the request waited here, in nanoseconds.
+    /// The time that the request waited for admission, in nanoseconds.
     pub waited: Time,
 }
 
@@ -56,7 +56,7 @@
     Admit {
         /// The request to pass on.
         request: T,
-        /// Its tenant and user.
+        /// The tenant and the person of the request, and how long it waited.
         admitted: Admitted,
     },
     /// Answer the request with a rejection.
@@ -65,7 +65,7 @@
         request: T,
         /// The reason for the rejection.
         reason: RejectReason,
-        /// How long the client should wait before it retries, in nanoseconds; 0 if the answer does not say.
+        /// How long the client should wait before it retries, in nanoseconds; 0 for no recommendation.
         retry_after: Time,
     },
     /// Look up a user in the directories. [`crate::Admission::user_updated`] is called when more is known of the user.
@@ -88,12 +88,12 @@
     Other,
 }
 
-/// An admitted request that has had its final answer.
+/// The end of an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
     /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// The way in which the request ended.
+    /// How the request ended.
     pub result: ServiceResult,
     /// The time since the request was admitted, in nanoseconds.
     pub service_time: Time,
--- a/crates/pipithub-admission/src/quotas.rs
+++ b/crates/pipithub-admission/src/quotas.rs
@@ -1,15 +1,16 @@
 //! The rate limits and quotas of tenants.
 //!
 //! The limit on requests in flight of a front end is adaptive. It is cut when the decision module finds no worker for a
-//! request in time while some tenant asks for far more than its quota, and it grows slowly otherwise. It is not cut if
-//! no tenant asks for more than its quota or if there is only one tenant. The decision module rejects requests that
-//! find no worker then, and a limit would reject more of them, because slow loads fill any limit on requests in flight.
+//! request in time while some tenant asks for far more than its quota, and it grows slowly over time. It is not cut if
+//! no tenant asks for far more than its quota or if there is only one tenant. The decision module then rejects the
+//! requests that find no worker. A lower limit would only reject more, because requests that wait for slow loads of
+//! functions fill any limit on requests in flight.
 //!
 //! Only tenants that ask for far more than their quota are throttled; they are called noisy neighbours. While there are
 //! free workers, a noisy neighbour may borrow quota that others leave idle: it may always use its own part of the
-//! limit, and beyond that the rest of the limit, of which classes of low weight may use less. While requests find no
-//! worker, it starts requests only at the rate of its share of what is being served, or at the rate that the others
-//! leave.
+//! limit, and beyond that the rest of the limit, of which classes of low weight may use less. During congestion, when
+//! requests find no worker or take much longer than usual, it starts requests only at a limited rate: its quota of the
+//! rate at which requests are served, or the rate that the other tenants leave if that is greater.
 
 mod limit;
 mod rate;
@@ -32,16 +33,15 @@
 const MAX_RETRY_AFTER: Time = 5 * SECOND;
 /// The minimum Retry-After that clients of a full queue are given.
 const MIN_QUEUE_RETRY_AFTER: Time = 20 * MS;
-/// A request may wait in the queue of its tenant for this part of its remaining time.
+/// A request waits in the queue of its tenant for at most its remaining time divided by this.
 const QUEUE_WAIT_DIVISOR: Time = 10;
-/// The part of the limit up to which a class may borrow that weighs less than half of the greatest weight.
+/// The part of the limit up to which a class may borrow if its weight is less than half of the greatest weight.
 const LOW_PRIORITY_BORROWING: f64 = 0.9;
 /// A tenant whose part of all requests is more than this many times its quota is a noisy neighbour.
 const NOISY_FACTOR: f64 = 1.5;
 /// A tenant whose part of all requests is greater than this is a noisy neighbour, however great its quota.
 const NOISY_MAX_FRACTION: f64 = 0.95;
-/// During congestion a noisy neighbour starts requests at this part of the rate that it may, so that the backlog
-/// shrinks.
+/// During congestion a noisy neighbour starts requests at this part of its allowed rate, so that the backlog shrinks.
 const THROTTLED_FRACTION: f64 = 0.9;
 /// Congestion is assumed to last for this long after its last sign.
 const CONGESTION_WINDOW: Time = SECOND;
@@ -108,7 +108,7 @@
     usual_service_time: f64,
     /// The mean service time of the last few requests, in nanoseconds.
     recent_service_time: f64,
-    /// When the last sign of congestion was seen.
+    /// When the last sign of congestion was seen; `None` if there was none.
     congested_at: Option<Time>,
     served: DecayingRate,
     deadlines: BTreeSet<Deadline>,
@@ -116,7 +116,7 @@
 }
 
 impl<T> Quotas<T> {
-    /// Creates quotas of which none is used.
+    /// Creates quotas with no request in flight or queued.
     pub(crate) fn new(settings: QuotaSettings) -> Self {
         let max_class_weight = settings.class_weights.iter().copied().fold(0.0, f64::max);
         Quotas {
@@ -145,7 +145,7 @@
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Handles a new request; `remaining` is the time until its deadline.
+    /// Handles a new request; `remaining` is the time until its deadline, in nanoseconds.
     pub(crate) fn offer(
         &mut self,
         now: Time,
@@ -196,8 +196,8 @@
         self.start_queued(now, decisions);
     }
 
-    /// Whether a request of this weight may join the queue of its tenant. If the queue is full, the request displaces
-    /// the one of least weight, and of those the latest, if that weighs less than itself.
+    /// Makes room in the queue of a tenant for a request of this weight, and returns whether there is room. If the
+    /// queue is full, the latest of the requests of least weight is rejected, provided that the new one weighs more.
     fn make_room_in_queue(
         &mut self,
         tenant: usize,
@@ -235,7 +235,7 @@
         decisions.push(Decision::Admit(candidate));
     }
 
-    /// How long a tenant needs to work off its queue at the rate of its quota, within the bounds of a Retry-After.
+    /// How long a tenant needs to empty its queue at the rate of its quota, within the bounds of a Retry-After.
     fn queue_retry_after(&self, tenant: usize, now: Time) -> Time {
         let own = &self.tenants[tenant];
         let quota = self.guaranteed_in_flight(tenant, now);
@@ -244,7 +244,7 @@
         ((backlog / rate) as Time).clamp(MIN_QUEUE_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Handles that a request has ended, `service_time` after it was admitted.
+    /// Handles the end of a request, `service_time` nanoseconds after it was admitted.
     pub(crate) fn completed(
         &mut self,
         now: Time,
@@ -290,7 +290,8 @@
         }
     }
 
-    /// Starts queued requests as long as quotas allow, first of the tenant that has the least in flight for its weight.
+    /// Starts queued requests as long as quotas allow, each time one of the tenant with the fewest requests in flight
+    /// relative to its weight.
     fn start_queued(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         while let Some(tenant) = self.next_to_start(now) {
             let Some((key, queued)) = self.tenants[tenant].queue.pop_first() else {
@@ -305,7 +306,8 @@
         }
     }
 
-    /// Of the tenants whose next request may start, the one that has the least in flight for its weight.
+    /// Of the tenants whose next request may start, the one with the fewest requests in flight relative to its weight;
+    /// `None` if no request may start.
     fn next_to_start(&self, now: Time) -> Option<usize> {
         let tenants = self.tenants.iter().enumerate();
         let startable = tenants.filter_map(|(number, tenant)| {
@@ -318,7 +320,7 @@
         Some(number)
     }
 
-    /// Handles what is due: requests whose wait is over are rejected, and others may start.
+    /// Handles what is due: starts queued requests that quotas allow by now, and rejects those whose wait is over.
     pub(crate) fn tick(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         self.limit.grow(now);
         self.start_queued(now, decisions);
@@ -357,14 +359,14 @@
         if own.in_flight >= own.quota.max_in_flight {
             return false;
         }
-        // Other tenants are not throttled because of a noisy neighbour. The decision module rejects what finds no
+        // Only noisy neighbours are throttled. The decision module rejects requests of other tenants that find no
         // worker.
         if !self.is_noisy_neighbour(tenant, now) {
             return true;
         }
         if self.is_congested(now) {
-            // One request may always be in flight. The allowed rate depends on what is served, to which the own
-            // requests belong, so it could otherwise shrink to nothing.
+            // One request may always be in flight. The allowed rate depends on the rate of served requests, which
+            // includes those of this tenant, so it could otherwise shrink to zero.
             return own.in_flight == 0
                 || own.admitted.per_second(now)
                     <= self.allowed_rate(tenant, now) * THROTTLED_FRACTION;
@@ -391,7 +393,7 @@
         (self.limit.current() * self.quota_fraction(tenant, now)).max(1.0)
     }
 
-    /// The quota of a tenant as a part of the quotas of all tenants that were active recently, from 0 to 1.
+    /// The weight of a tenant as a fraction of the weights of itself and all active tenants, from 0 to 1.
     fn quota_fraction(&self, tenant: usize, now: Time) -> f64 {
         let Some(own) = self.tenants.get(tenant) else {
             return 0.0;
@@ -413,7 +415,7 @@
             .any(|(number, tenant)| tenant.is_active(now) && self.is_noisy_neighbour(number, now))
     }
 
-    /// Whether a tenant asks for far more than its quota. A tenant that is alone never does.
+    /// Whether a tenant asks for far more than its quota. The only active tenant never does.
     fn is_noisy_neighbour(&self, tenant: usize, now: Time) -> bool {
         let fraction = self.quota_fraction(tenant, now);
         let demands = self
@@ -425,8 +427,8 @@
         fraction < 1.0 && self.tenants[tenant].demand.per_second(now) > bound
     }
 
-    /// The rate at which a noisy neighbour may start requests, per second: its quota of what is being served, or what
-    /// the other tenants leave if that is more.
+    /// The rate at which a noisy neighbour may start requests, per second: its quota of the rate at which requests are
+    /// served, or its part of the rate that other tenants leave to noisy neighbours if that is greater.
     fn allowed_rate(&self, tenant: usize, now: Time) -> f64 {
         let served = self.served.per_second(now);
         let (mut others_demand, mut noisy_weights) = (0.0, 0.0);
--- a/crates/pipithub-admission/src/quotas/limit.rs
+++ b/crates/pipithub-admission/src/quotas/limit.rs
@@ -3,7 +3,7 @@
 use super::settings::LimitRange;
 use crate::{MS, Time};
 
-/// The minimum time between cuts. Requests that were in flight at the last cut must end before the next.
+/// The minimum time between cuts, so that requests that were in flight at the last cut can end before the next.
 const MIN_CUT_INTERVAL: Time = 100 * MS;
 /// The factor of a cut after a request beyond the quota of its tenant found no worker.
 const CUT_FACTOR: f64 = 0.95;
@@ -51,7 +51,7 @@
         self.cut_at.is_none_or(|at| now >= at + MIN_CUT_INTERVAL)
     }
 
-    /// Cuts the limit below the requests that were in flight.
+    /// Cuts the limit below the number of requests that were in flight, but not below its minimum.
     pub(super) fn cut(&mut self, now: Time, in_flight: usize, is_within_quota: bool) {
         let factor = if is_within_quota {
             CUT_FACTOR_WITHIN_QUOTA
--- a/crates/pipithub-admission/src/quotas/rate.rs
+++ b/crates/pipithub-admission/src/quotas/rate.rs
@@ -13,7 +13,8 @@
 pub(super) struct DecayingRate {
     mean: f64,
     updated_at: Time,
-    /// When the first event was recorded. A mean over a short time must be corrected for the time before.
+    /// When the first event was recorded; `None` if there is none. A mean over a short time must be corrected, as no
+    /// events were observed before.
     first_event: Option<Time>,
 }
 
--- a/crates/pipithub-admission/src/quotas/tenant.rs
+++ b/crates/pipithub-admission/src/quotas/tenant.rs
@@ -8,7 +8,8 @@
 use super::{Candidate, MAX_RETRY_AFTER};
 use crate::{MS, SECOND, Time};
 
-/// A tenant that made no request for this long is inactive: its quota is divided among the others.
+/// A tenant that has made no request for this long and has none in flight is inactive: its quota is divided among the
+/// others.
 const ACTIVE_WINDOW: Time = 5 * SECOND;
 
 /// The position of a request in the queue of its tenant. The greatest priority weight comes first; requests of equal
@@ -27,10 +28,10 @@
     pub(super) until: Time,
 }
 
-/// A tenant exceeds its rate limit.
+/// The error for a request that exceeds the rate limit of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RateExceeded {
-    /// How long until the next request is within the limit.
+    /// How long until the next request is within the limit, in nanoseconds.
     pub(super) retry_after: Time,
 }
 
--- a/crates/pipithub-admission/src/quotas/tests.rs
+++ b/crates/pipithub-admission/src/quotas/tests.rs
@@ -57,7 +57,7 @@
     retry_after: Time,
 }
 
-/// The one request that decisions reject because its tenant has used up its quota.
+/// The request of the only decision, which must be a rejection because its tenant has used up its quota.
 fn only_over_quota(decisions: &[Decision<u64>]) -> OverQuota {
     match decisions {
         [
@@ -90,7 +90,8 @@
     );
 }
 
-/// Quotas with ten requests in flight, one of them of a tenant whose quota is a tenth and who asks for more.
+/// Quotas with ten requests in flight, which is their limit. One of the ten belongs to a tenant whose quota is a tenth,
+/// and a further request of that tenant is queued.
 fn quotas_at_limit() -> Quotas<u64> {
     let mut quotas = quotas(&[1.0, 9.0], 10.0);
     for n in 0..9 {
@@ -153,8 +154,8 @@
     assert_eq!(quotas.tenants[0].queue.len(), 4);
 }
 
-/// Found by a test: while requests found no worker for a long time, the rate of a noisy neighbour shrank to nothing,
-/// because it is a part of what is served, which were its own requests.
+/// While requests found no worker for a long time, the allowed rate of a noisy neighbour once shrank to zero: it is a
+/// fraction of the rate of served requests, and all of those were its own.
 #[test]
 fn noisy_neighbour_is_never_starved() {
     let mut quotas = quotas(&[1.0, 1.0], 1_000.0);
@@ -182,7 +183,10 @@
             }
         }
     }
-    assert!(starts > 100, "{starts} in ten seconds");
+    assert!(
+        starts > 100,
+        "only {starts} requests started in ten seconds"
+    );
 }
 
 #[test]
@@ -214,14 +218,14 @@
         },
     ] = offer(&mut quotas, 0, 0, 0, 3)[..]
     else {
-        panic!("not over the rate limit")
+        panic!("the request was not rejected over the rate limit")
     };
     assert!((99 * MS..=101 * MS).contains(&after), "{after}");
     assert_eq!(admitted(&offer(&mut quotas, after + MS, 0, 0, 4)), [4]);
 }
 
-/// Found by a test: slow loads filled a limit that had been cut because requests found no worker, and requests were
-/// rejected though no tenant asked for more than its quota.
+/// The limit was once cut because requests found no worker. Slow loads then filled it, and requests were rejected
+/// although no tenant asked for more than its quota.
 #[test]
 fn without_a_noisy_neighbour_the_limit_is_not_cut() {
     let mut quotas = quotas(&[1.0, 1.0], 100.0);
--- a/crates/pipithub-admission/tests/with_directory/directory_faults.rs
+++ b/crates/pipithub-admission/tests/with_directory/directory_faults.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Found by a test: with a slow directory, every call of a known user whose record was stale waited 40 ms for nothing.
+/// With a slow directory, every call of a known user with a stale record once waited 40 ms, although the record could
+/// be used.
 #[test]
 fn known_users_do_not_wait_for_a_slow_directory() {
     let mut simulation = Simulation::new(&[1], |_, _| {});
@@ -113,8 +114,8 @@
     );
 }
 
-/// A server that restarts answers for a while that no user exists. Known users must not lose their tenant by that, and
-/// new ones must not be taken for unknown.
+/// A server that restarts answers for a while that no user exists. Known users must not lose their tenant
+/// because of it, and new ones must not count as unknown.
 #[test]
 fn answers_of_a_server_that_is_still_loading_are_ignored() {
     let mut simulation = Simulation::new(&[2], |_, d| d.lifetimes.negative = 60 * S);
@@ -141,7 +142,7 @@
     );
 }
 
-/// If a server answers with entries of other users, the missing entry of the user means nothing.
+/// If a server answers with entries of other users only, this does not show that the requested user does not exist.
 #[test]
 fn answer_with_entries_of_other_users_removes_no_user_from_their_tenant() {
     let mut simulation = Simulation::new(&[1], |_, _| {});
@@ -209,7 +210,7 @@
         .map(|(_, count)| *count)
         .max()
         .unwrap_or(0);
-    // 130 front ends refresh 40 users each. One by one and at once, these would be 5,200 searches.
+    // 130 front ends refresh 40 users each. With one search for each user, that would be 5,200 searches at once.
     println!(
         "{worst} searches in the worst second, {} in all",
         searches.len()
--- a/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
+++ b/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
@@ -130,10 +130,11 @@
             .completed(now, roster, completion, outputs);
     }
 
-    /// Runs the fleet for 30 s and returns the part of each tenant's calls that were served.
+    /// Runs the fleet for 30 s and returns the fraction of each tenant's calls that was served.
     ///
-    /// Each tenant makes 160 calls a second, the second one `burst_factor` times as many from 5 s to 25 s. The fleet serves
-    /// 800 calls a second, and 400 after it loses half of its workers at 12 s; a quota is half of that.
+    /// Each tenant makes 160 calls a second, the second one `burst_factor` times as many from 5 s to 25 s. The fleet
+    /// serves 800 calls a second, and 400 after it loses half of its workers at 12 s; the quota of each tenant is half
+    /// of that.
     fn run(mut self, burst_factor: usize) -> [f64; 2] {
         for ms in 0..30_000 {
             let now = S + ms * MS;
@@ -171,6 +172,6 @@
     );
     assert!(
         without_quotas < 0.9,
-        "the load is not hard enough: {without_quotas:.4} without quotas"
+        "the load is too low for quotas to matter: {without_quotas:.4} without quotas"
     );
 }
--- a/crates/pipithub-admission/tests/with_directory/simulation.rs
+++ b/crates/pipithub-admission/tests/with_directory/simulation.rs
@@ -19,11 +19,11 @@
     Dn::parse(text).expect(text)
 }
 
-/// A search that a server was asked for.
+/// A search that a server received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Search {
     pub(crate) at: Time,
-    /// The number of users that it is for; 0 for a health check.
+    /// The number of users that are searched for; 0 for a health check.
     pub(crate) users: usize,
 }
 
@@ -303,7 +303,7 @@
         self.handle_admission(out);
     }
 
-    /// Lets everything happen that is due until then.
+    /// Advances the simulated time to `until`, and handles everything that becomes due by then.
     pub(crate) fn run_until(&mut self, until: Time) {
         loop {
             let answer = self.results.keys().next().map(|k| k.0);
--- a/crates/pipithub-admission/tests/with_directory/tenancy.rs
+++ b/crates/pipithub-admission/tests/with_directory/tenancy.rs
@@ -5,7 +5,7 @@
 
 use crate::simulation::{MS, Rejection, S, Simulation, lifetimes};
 
-/// One of two servers goes on to answer with the former tenant.
+/// One of two servers keeps answering with the former tenant.
 #[test]
 fn migrated_user_belongs_to_the_new_tenant_within_the_bound_though_a_server_is_stale() {
     for seed in 0..50 {
@@ -58,7 +58,8 @@
     }
 }
 
-/// Without change numbers a stale server cannot be recognized, so a change must be answered twice, some seconds apart.
+/// Without change numbers a stale server cannot be recognized, so a change is accepted only once two answers, some
+/// seconds apart, agree on it.
 #[test]
 fn without_change_numbers_a_migration_is_accepted_only_when_confirmed() {
     let mut simulation = Simulation::new(&[1], |_, _| {});
@@ -106,7 +107,7 @@
     simulation.call(1, "lan");
     simulation.run_until(S);
     simulation.call(2, "mai");
-    // The first call may have been admitted by the first answer alone. From the second answer on, no tenant is chosen.
+    // The first call may have been admitted once one directory had answered. After both have, no tenant is chosen.
     assert_eq!(
         simulation.rejected.get(&2),
         Some(&Rejection {
--- a/crates/pipithub-amqp/benches/codec.rs
+++ b/crates/pipithub-amqp/benches/codec.rs
@@ -1,4 +1,4 @@
-//! What the codec costs: a delivery with its headers, read and written.
+//! Measures the codec: decoding and encoding a delivery with its headers.
 #![allow(missing_docs, reason = "criterion's macros make public functions")]
 
 use bytes::{Bytes, BytesMut};
--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -27,9 +27,9 @@
 use channels::Channel;
 
 const SECOND: Time = 1_000_000_000;
-/// Longest duration of the handshake, so that a peer that sends nothing cannot occupy a connection for ever.
+/// Longest duration of the handshake, so that a peer that sends nothing cannot occupy a connection forever.
 const HANDSHAKE_TIMEOUT: Time = 10 * SECOND;
-/// How long `close-ok` is awaited.
+/// How long `close-ok` is awaited before the connection ends without it.
 const CLOSE_TIMEOUT: Time = 5 * SECOND;
 
 /// The state of a connection. In the `Awaiting` states of the handshake, the peer's method of that name is expected
@@ -67,7 +67,7 @@
     events: VecDeque<Event>,
     /// When the handshake or the closing began, from which its timeout counts.
     phase_started: Time,
-    /// The time that was passed last.
+    /// The time that the caller passed to [`Endpoint::receive`] or [`Endpoint::handle_timeout`] last.
     now: Time,
     last_sent: Time,
     last_received: Time,
@@ -167,7 +167,7 @@
         self.output.split().freeze()
     }
 
-    /// Removes and returns the oldest event.
+    /// Removes and returns the oldest event; `None` if there is none.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
@@ -219,7 +219,10 @@
             return;
         };
         if self.now >= self.last_received + 2 * interval {
-            let fault = Fault::new(Code::ConnectionForced, "no heartbeat came");
+            let fault = Fault::new(
+                Code::ConnectionForced,
+                "the peer sent nothing for two heartbeat intervals",
+            );
             return self.finish(fault, false);
         }
         if self.now >= self.last_sent + interval / 2 {
--- a/crates/pipithub-amqp/src/endpoint/channels.rs
+++ b/crates/pipithub-amqp/src/endpoint/channels.rs
@@ -43,7 +43,8 @@
 pub(super) enum Channel {
     /// Client: `channel.open` was sent.
     Opening,
-    /// Methods may be sent and received. `assembly` is the method whose content is being received.
+    /// Methods may be sent and received. `assembly` is the method whose content is being received; `None` between
+    /// contents.
     Open { assembly: Option<Box<Assembly>> },
     /// `channel.close` was sent. All methods but `close` and `close-ok` are ignored.
     Closing,
--- a/crates/pipithub-amqp/src/endpoint/settings.rs
+++ b/crates/pipithub-amqp/src/endpoint/settings.rs
@@ -9,7 +9,7 @@
     Server,
 }
 
-/// The limits of a connection. All but the last are negotiated.
+/// The limits of a connection. All except `max_body` are negotiated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// Highest channel number; 0 for any.
--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -7,7 +7,7 @@
 use crate::reply::{Code, Fault};
 use crate::wire::{Reader, SyntaxError, Writer};
 
-/// Bytes of a frame beside its payload: the header and the end octet.
+/// Bytes of a frame besides its payload: the header and the end octet.
 pub const OVERHEAD: usize = 8;
 /// The smallest `frame-max` that may be negotiated, in bytes.
 pub const FRAME_MIN_SIZE: u32 = 4096;
--- a/crates/pipithub-amqp/src/value.rs
+++ b/crates/pipithub-amqp/src/value.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A value in a field table or array. The doc of each variant names its type octet.
+/// A value in a field table or array. The documentation of each variant names its type octet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldValue {
     /// Type `t`: a boolean.
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -25,7 +25,7 @@
     /// Tables or arrays are nested deeper than [`MAX_DEPTH`].
     #[error("tables nested too deep")]
     TooDeep,
-    /// Bytes follow the last value; their number.
+    /// Bytes follow the last value. Holds the number of bytes.
     #[error("{0} bytes left over")]
     TrailingBytes(usize),
 }
@@ -209,7 +209,7 @@
 #[derive(Debug)]
 pub struct Writer<'a> {
     output: &'a mut BytesMut,
-    /// Number of used bits in the last octet, if the last value was a bit.
+    /// Number of used bits in the last octet; `None` if the last value was not a bit.
     bits: Option<u8>,
 }
 
@@ -219,7 +219,7 @@
         Writer { output, bits: None }
     }
 
-    /// The buffer, for a value that is not a bit: the next bit begins a new octet.
+    /// The buffer, to append a value other than a bit. The next bit begins a new octet.
     fn octets(&mut self) -> &mut BytesMut {
         self.bits = None;
         self.output
@@ -341,7 +341,7 @@
     }
 }
 
-/// A type of method arguments.
+/// A type of the arguments of methods.
 pub trait Argument: Sized {
     /// Decodes an argument of this type.
     ///
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -1,5 +1,5 @@
-//! The codec with every method, property and type of field value: round trips, malformed input, and agreement with an
-//! independent implementation.
+//! Tests of the codec with every method, property and type of field value: round trips, malformed input, and agreement
+//! with an independent implementation.
 
 use bytes::{Bytes, BytesMut};
 use pipithub_amqp::frame::OVERHEAD;
--- a/crates/pipithub-amqp/tests/endpoints/connections.rs
+++ b/crates/pipithub-amqp/tests/endpoints/connections.rs
@@ -33,7 +33,9 @@
         );
     }
     for _ in 0..10 {
-        pair.client.open_channel().expect("ten fit");
+        pair.client
+            .open_channel()
+            .expect("ten channels are allowed");
     }
     assert!(pair.client.open_channel().is_err());
 }
--- a/crates/pipithub-amqp/tests/endpoints/pair.rs
+++ b/crates/pipithub-amqp/tests/endpoints/pair.rs
@@ -5,7 +5,7 @@
     Code, Endpoint, Event, Fault, Frame, Login, Method, Payload, ShortStr, Tuning,
 };
 
-/// Bytes that are received at once.
+/// The number of bytes that are received at once. It is less than a frame, so that all frames arrive in parts.
 const CHUNK_BYTES: usize = 7;
 
 /// A client and a server that are connected to each other.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Server: accepts only the user `guest` and the virtual host `/`.
+    /// Decides for the server about logins and virtual hosts: accepts only the user `guest` and the virtual host `/`.
     fn decide(&mut self, event: &Event) {
         match event {
             Event::Login { user, password } if user == "guest" && password == "guest" => {
--- a/crates/pipithub-amqp/tests/endpoints/violations.rs
+++ b/crates/pipithub-amqp/tests/endpoints/violations.rs
@@ -4,7 +4,7 @@
 
 use super::pair::{Pair, body, header, method, publish};
 
-/// Frames that violate the protocol on a connection on which channel 1 is open, and the reply code for it.
+/// Frames that violate the protocol on a connection whose channel 1 is open, and the expected reply code.
 struct Violation {
     name: &'static str,
     code: u16,
--- a/crates/pipithub-settings/src/config.rs
+++ b/crates/pipithub-settings/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings as types.
+//! The types of the parsed settings.
 
 use std::path::PathBuf;
 
@@ -55,7 +55,7 @@
     pub name: String,
     /// The schedule as a cron pattern with optional seconds, in UTC.
     pub schedule: String,
-    /// The properties of the timer's requests. The class and the function are always set.
+    /// The properties of the timer's requests. The class and the function are always `Some`.
     pub route: Route,
     /// The body of the timer's requests.
     pub body: String,
@@ -92,7 +92,7 @@
     Fixed(Vec<FixedWorker>),
 }
 
-/// The HTTP client for requests to workers. Times are in nanoseconds.
+/// The settings of the HTTP client for requests to workers. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpConfig {
     /// The time after which a connection that was not accepted counts as refused.
@@ -135,7 +135,7 @@
     pub cron: Vec<CronConfig>,
     /// How workers are discovered.
     pub workers: WorkersConfig,
-    /// The HTTP client for requests to workers.
+    /// The settings of the HTTP client for requests to workers.
     pub http: HttpConfig,
     /// The format and the level of logs.
     pub log: LogConfig,
--- a/crates/pipithub-settings/src/document.rs
+++ b/crates/pipithub-settings/src/document.rs
@@ -13,7 +13,7 @@
 use crate::route::RouteContext;
 use crate::{amqp, cron, fleet, policy, tenants, workers};
 
-/// The bytes of a mebibyte, the unit of sizes in the settings.
+/// The number of bytes in a mebibyte, the unit of sizes in the settings.
 pub(crate) const MEBIBYTE: usize = 1 << 20;
 
 /// Parses the text of a file. Returns all of its faults if there are any.
--- a/crates/pipithub-settings/src/duration.rs
+++ b/crates/pipithub-settings/src/duration.rs
@@ -2,13 +2,13 @@
 
 use pipithub_engine::Time;
 
-/// The nanoseconds of a millisecond.
+/// A millisecond in nanoseconds.
 pub(crate) const MS: Time = 1_000_000;
-/// The nanoseconds of a second.
+/// A second in nanoseconds.
 pub(crate) const SECOND: Time = 1_000 * MS;
-/// The nanoseconds of an hour.
+/// An hour in nanoseconds.
 pub(crate) const HOUR: Time = 3_600 * SECOND;
-/// The nanoseconds of a day.
+/// A day in nanoseconds.
 pub(crate) const DAY: Time = 24 * HOUR;
 
 /// Parses a duration such as `250us`, `250ms`, `1.5s`, `10m` or `2h`, in nanoseconds.
--- a/crates/pipithub-settings/src/fault.rs
+++ b/crates/pipithub-settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a settings file, each with its place and, if there is one, a hint.
+//! The faults of a settings file, each with its location and, if there is one, a hint.
 
 use std::cell::RefCell;
 
@@ -10,18 +10,18 @@
 pub struct Fault {
     /// A description of the fault.
     pub message: String,
-    /// The place of the fault in the text.
+    /// The location of the fault in the text.
     #[label("here")]
     pub span: SourceSpan,
-    /// A hint on how to correct the fault.
+    /// A hint on how to correct the fault; `None` if there is none.
     #[help]
     pub help: Option<String>,
 }
 
-/// A fault with the line of its place.
+/// A fault with its line number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultLine {
-    /// The number of the line, from 1.
+    /// The number of the line on which the fault begins, from 1.
     pub line: usize,
     /// The description of the fault.
     pub message: String,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All faults with the lines of their places.
+    /// All faults with their line numbers.
     pub fn lines(&self) -> Vec<FaultLine> {
         self.faults
             .iter()
@@ -96,7 +96,7 @@
     }
 }
 
-/// The place of faults that belong to no node, such as a missing one.
+/// The location of faults that belong to no node, such as a missing node.
 pub(crate) fn start_of_file() -> SourceSpan {
     (0, 0).into()
 }
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -22,11 +22,11 @@
     pub zone: String,
     /// The data folder, which no other process may use.
     pub data_folder: PathBuf,
-    /// Addresses that are reached through another address, such as that of a proxy in a test.
+    /// Maps addresses of members to those that datagrams are sent to instead, such as that of a proxy in a test.
     pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-/// Reads the node; `None` if there is none, or if a fault was reported that leaves the settings incomplete.
+/// Reads the node. Returns `None` if there is none, or if a reported fault leaves the settings incomplete.
 pub(crate) fn read(root: &Reader<'_>, instances: u32) -> Option<FleetSettings> {
     let node = root.child("fleet")?;
     let cluster = node.name();
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings file, in KDL.
 //!
-//! [`Config::parse`] parses a complete file and reports all of its faults at once, each with its place and reason. A file
-//! with any fault is rejected completely, so that a running process keeps its previous settings. `docs/operations.md`
-//! lists every node with its defaults and ranges.
+//! [`Config::parse`] parses a complete file and reports all of its faults at once, each with its location and reason. A
+//! file with any fault is rejected completely, so that a running process keeps its previous settings.
+//! `docs/operations.md` lists every node with its defaults and ranges.
 
 mod address;
 mod amqp;
--- a/crates/pipithub-settings/src/reader.rs
+++ b/crates/pipithub-settings/src/reader.rs
@@ -15,7 +15,7 @@
 /// The maximum length of a name.
 const MAX_NAME_BYTES: usize = 200;
 
-/// A value with its place in the file.
+/// A value with its location in the file.
 #[derive(Clone, Copy)]
 pub(crate) struct Spanned<'a> {
     pub(crate) value: &'a KdlValue,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The value as a text; empty if it is of another type.
+    /// The value as a string; empty if it is of another type.
     pub(crate) fn text(&self) -> &'a str {
         self.value.as_string().unwrap_or_default()
     }
@@ -60,7 +60,7 @@
         self.node.is_none()
     }
 
-    /// The node's place in the file.
+    /// The node's location in the file.
     pub(crate) fn span(&self) -> SourceSpan {
         self.node.map_or_else(start_of_file, KdlNode::span)
     }
@@ -73,17 +73,17 @@
         self.node.map_or(&[], KdlNode::entries)
     }
 
-    /// Reports a fault whose place is the node.
+    /// Reports a fault whose location is the node.
     pub(crate) fn fault(&self, message: impl Into<String>) {
         self.faults.add(self.span(), message, None);
     }
 
-    /// Reports a fault whose place is the node, with a hint.
+    /// Reports a fault whose location is the node, with a hint.
     pub(crate) fn fault_with_help(&self, message: impl Into<String>, help: &str) {
         self.faults.add(self.span(), message, Some(help));
     }
 
-    /// Reports a fault at a place inside the node.
+    /// Reports a fault at a location inside the node.
     pub(crate) fn fault_at(
         &self,
         span: SourceSpan,
@@ -117,7 +117,7 @@
         first
     }
 
-    /// The child with a name, or a missing node in its place.
+    /// The child with a name, or a missing node instead.
     pub(crate) fn child_or_missing(&self, name: &str) -> Reader<'a> {
         let child = self.child(name);
         child.unwrap_or_else(|| Reader::of(None, self.faults))
@@ -152,22 +152,23 @@
         first.map(Spanned::of)
     }
 
-    /// The node's argument as a name; empty if there is none or it is not a text.
+    /// The node's argument as a name; empty if there is none or it is not a string.
     pub(crate) fn name(&self) -> String {
         let Some(argument) = self.argument() else {
             return String::new();
         };
         let Some(name) = argument.value.as_string() else {
-            self.fault_at(argument.span, "a text is needed here", None);
+            self.fault_at(argument.span, "expected a string", None);
             return String::new();
         };
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
-            self.fault_at(argument.span, "a name has 1 to 200 bytes", None);
+            self.fault_at(argument.span, "a name must have 1 to 200 bytes", None);
         }
         name.to_string()
     }
 
-    /// The value that a child node or a property with a name gives; both together are a fault.
+    /// The value of the child node or of the property with a name; `None` if there is neither. Both
+    /// together are a fault.
     pub(crate) fn value(&self, name: &str) -> Option<Spanned<'a>> {
         let child = self.child(name);
         let property = self.property(name);
@@ -203,7 +204,7 @@
     }
 
     pub(crate) fn text(&self, name: &str) -> Option<String> {
-        self.converted(name, "a text", |value| {
+        self.converted(name, "a string", |value| {
             value.as_string().map(str::to_string)
         })
     }
@@ -249,7 +250,7 @@
         self.optional_duration(name, range).unwrap_or(default)
     }
 
-    /// The value that belongs to the chosen name.
+    /// The value of the choice that the settings name, or the default.
     pub(crate) fn choice<T: Copy>(&self, name: &str, default: T, choices: &[(&str, T)]) -> T {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -261,7 +262,7 @@
         self.converted(name, &expected, convert).unwrap_or(default)
     }
 
-    /// Reports every child and property that was not read.
+    /// Reports every child and property whose name is not known as a fault.
     pub(crate) fn finish(&self) {
         let known_names = self.known_names.borrow();
         let children = self.child_nodes().map(|child| {
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -39,7 +39,7 @@
         self.config.is_none()
     }
 
-    /// The tenant that a node names.
+    /// The tenant that a node refers to; `None` if it refers to none, or to an unknown tenant, which is a fault.
     pub(crate) fn read_reference(&self, node: &Reader<'_>) -> Option<Tenant> {
         let given = node.value("tenant")?;
         let tenants = self
@@ -84,7 +84,7 @@
     }
 }
 
-/// Reads all nodes about tenants, and which tenant owns each function.
+/// Reads all nodes that concern tenants. Returns the tenants and the owners of functions.
 pub(crate) fn read(root: &Reader<'_>, class_weights: &[f64]) -> (Tenants, Owners) {
     let signing_keys = secret::read_signing_keys(root);
     let directories = root.children("directory");
@@ -102,7 +102,7 @@
     read_shared_functions(root, &mut owners);
     let admission = admission::read(root, quotas, class_weights);
     if tenants.is_empty() && !directories.is_empty() {
-        let message = "there is a directory and no tenant";
+        let message = "a directory is given, but no tenant";
         root.fault_at(start_of_file(), message, None);
     }
     let has_tenants = !tenants.is_empty();
@@ -154,7 +154,7 @@
     })
 }
 
-/// The base of a tenant, parsed and as it is written.
+/// The base of a tenant's entries, as parsed and as written.
 struct ParsedBase {
     search_base: TenantBase,
     text: String,
@@ -180,7 +180,7 @@
         .and_then(|config| Dn::parse(&config.base).ok())
         .unwrap_or_default();
     if !base.is_within(&directory_base) {
-        node.fault("this base is not within the directory's");
+        node.fault("this base is not within the directory's base");
     }
     let search_base = TenantBase { directory, base };
     if let Some(other) = known
--- a/crates/pipithub-settings/src/tenants/admission.rs
+++ b/crates/pipithub-settings/src/tenants/admission.rs
@@ -62,7 +62,7 @@
         key
     });
     if key.is_none() {
-        node.fault("a snapshot needs a 'key' that seals it");
+        node.fault("a snapshot needs a 'key' to authenticate it");
     }
     node.finish();
     SnapshotConfig {
@@ -88,7 +88,7 @@
     let given = node.argument().and_then(|given| as_number(given.value));
     let in_range = given.filter(|rate| (0.001..=1e6).contains(rate));
     let per_second = in_range.unwrap_or_else(|| {
-        node.fault("a rate is calls a second, from 0.001 to 1000000");
+        node.fault("a rate is a number of calls per second from 0.001 to 1000000");
         1.0
     });
     let burst = node.number("burst", per_second.max(1.0), 1.0..=1e6);
--- a/crates/pipithub-settings/src/tenants/config.rs
+++ b/crates/pipithub-settings/src/tenants/config.rs
@@ -28,7 +28,7 @@
     pub name: String,
 }
 
-/// What a connection to a directory binds as (RFC 4513, simple authentication).
+/// The credentials that connections to a directory bind with (RFC 4513, simple authentication).
 #[derive(Clone, Debug)]
 pub struct BindCredentials {
     /// The distinguished name to bind as.
@@ -37,7 +37,7 @@
     pub password: SecretString,
 }
 
-/// Credentials are compared where settings are: a secret has no comparison of its own.
+/// Written by hand because [`SecretString`] cannot be compared. Settings with credentials are compared.
 impl PartialEq for BindCredentials {
     fn eq(&self, other: &Self) -> bool {
         self.name == other.name && self.password.expose_secret() == other.password.expose_secret()
@@ -68,7 +68,7 @@
     /// The attribute of the base entry that shows how current a server's copy is; `None` if lagging copies are not
     /// detected.
     pub change_number_attribute: Option<String>,
-    /// Whether the directory is followed by content synchronization (RFC 4533).
+    /// Whether changes of the directory are received by content synchronization (RFC 4533).
     pub content_sync: bool,
     /// The number of connections to each server.
     pub connections: usize,
@@ -85,7 +85,7 @@
     pub functions: Vec<String>,
     /// The directory and the base of the tenant's entries.
     pub search_base: TenantBase,
-    /// The distinguished name of that base, as written.
+    /// The distinguished name of `search_base`, as written.
     pub base: String,
 }
 
@@ -94,7 +94,7 @@
 pub struct SnapshotConfig {
     /// The path of the file; each front end replaces the extension by its name.
     pub path: PathBuf,
-    /// The key of the seal, at least 16 bytes.
+    /// The key that authenticates the file, at least 16 bytes.
     pub key: Vec<u8>,
     /// The interval between two snapshots, in nanoseconds.
     pub interval: Time,
@@ -120,6 +120,6 @@
     pub admission: AdmissionSettings,
     /// The maximum number of users whose records are cached.
     pub max_users: usize,
-    /// The snapshot of cached records; `None` if none is written or read.
+    /// The snapshot of cached records; `None` if no snapshot is written or read.
     pub snapshot: Option<SnapshotConfig>,
 }
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -69,7 +69,9 @@
 fn read_servers(node: &Reader<'_>, directory: &str) -> Vec<ServerConfig> {
     let servers: Vec<ServerConfig> = node.children("server").iter().map(read_server).collect();
     if servers.is_empty() || servers.len() > MAX_SERVERS {
-        node.fault(format!("directory '{directory}' needs one to 32 'server'"));
+        node.fault(format!(
+            "directory '{directory}' needs 1 to 32 'server' nodes"
+        ));
     }
     servers
 }
@@ -167,8 +169,7 @@
     let max_stale = node.duration("stale-most", default_stale, 200 * MS..=DAY);
     let negative = node.duration("negative", defaults.negative, 100 * MS..=HOUR);
     if max_stale < 2 * fresh {
-        let help =
-            "a fact is used while it is refreshed, for which it needs twice 'fresh' at least";
+        let help = "a record is used while it is refreshed, so 'stale-most' must be at least twice 'fresh'";
         node.fault_with_help("'stale-most' is less than twice 'fresh'", help);
     }
     Lifetimes {
@@ -183,7 +184,11 @@
     let text = given.map_or("", |given| given.text());
     let starts_at_ms = parse_time_of_day(text).unwrap_or_else(|| {
         let span = given.map_or(node.span(), |given| given.span);
-        node.fault_at(span, "this is no time of day", Some("as \"05:30\", in UTC"));
+        node.fault_at(
+            span,
+            "this is not a time of day",
+            Some("as \"05:30\", in UTC"),
+        );
         0
     });
     let lead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
--- a/crates/pipithub-settings/src/tenants/secret.rs
+++ b/crates/pipithub-settings/src/tenants/secret.rs
@@ -8,7 +8,7 @@
 use crate::duration::{DAY, SECOND};
 use crate::reader::Reader;
 
-/// The minimum length of a key.
+/// The minimum length of a key in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
 /// Reads a secret from the file that the node names, or from the node's text. `description` names the secret in faults.
@@ -35,7 +35,7 @@
 pub(super) fn read_key(node: &Reader<'_>, description: &str) -> Vec<u8> {
     let key = read(node, description).unwrap_or_default();
     if key.len() < MIN_KEY_BYTES {
-        node.fault("a key has at least 16 bytes");
+        node.fault("a key must have at least 16 bytes");
     }
     key
 }
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -77,8 +77,8 @@
     ));
 }
 
-/// Replaces a line of the valid file, from 1, by another text, and expects a fault at that line whose message contains
-/// `message`.
+/// Replaces a line of the valid file, counted from 1, by `text`. Expects a fault at that line and a fault whose message
+/// contains `message`.
 fn expect_fault(line: usize, text: &str, message: &str) {
     let mut lines: Vec<&str> = VALID.lines().collect();
     lines[line - 1] = text;
@@ -89,7 +89,7 @@
         faults.iter().any(|fault| fault.message.contains(message)),
         "{text}: {faults:?}"
     );
-    // The place of a node that spans several lines is its first line.
+    // The location of a node that spans several lines is its first line.
     let is_at_line =
         |fault: &FaultLine| fault.line == line || line == QUEUE_LINE && fault.line == AMQP_LINE;
     assert!(
@@ -181,7 +181,7 @@
         "given twice",
     );
     expect_fault(17, "log { format \"xml\" }", "'format' cannot be");
-    // The text is no KDL, whose parser chooses the message.
+    // The text is not KDL. The message is that of the KDL parser, so any is accepted.
     expect_fault(17, "log { ", "");
 }
 
