--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! Finds the tenant of each request and passes it on to the quota of that tenant.
+//! Finds the tenant of each request and offers the request to the quota of that tenant.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 const MAX_REFRESHES: usize = 4_096;
 /// How long the client of an unknown user should wait before it retries. By then the directories may have answered.
 const UNKNOWN_USER_RETRY_AFTER: Time = SECOND;
-/// A request may wait for the look-up of its user for this part of its remaining time.
+/// A request waits for the look-up of its user for at most its remaining time divided by this.
 const IDENTITY_WAIT_DIVISOR: Time = 4;
 
 /// The settings of admission control.
@@ -34,12 +34,14 @@
 struct Pending<T> {
     arrival: Arrival<T>,
     arrived_at: Time,
-    /// The person that the user name stood for when the request was judged; `None` before, and without a user.
+    /// The person that the user name referred to when the request was offered to the quota of its tenant; `None` before
+    /// that, and if the request states no user.
     person: Option<PersonId>,
 }
 
 impl<T> Pending<T> {
-    /// Whether its user is still the same person and belongs to the same tenant as when the request was judged.
+    /// Whether the user is still the same person and belongs to the same tenant as when the request was offered to the
+    /// quota. Always true for a request without a user.
     fn still_belongs_to(&self, tenant: usize, roster: &Roster, now: Time) -> bool {
         let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
             return true;
@@ -78,11 +80,11 @@
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
-    waiting: PendingLookups<Pending<T>>,
+    pending_lookups: PendingLookups<Pending<T>>,
     quotas: Quotas<Pending<T>>,
-    /// When the refresh of a known user was last asked for, so that a busy user is not refreshed with each request.
+    /// When a refresh of a known user was last requested, so that a busy user is not refreshed with each request.
     refreshes: BTreeMap<User, Time>,
-    /// Empty between calls; kept so that its memory is used again.
+    /// Empty between calls; kept to reuse its allocation.
     decisions: Vec<Decision<Pending<T>>>,
 }
 
@@ -90,7 +92,7 @@
     /// Creates an admission control with no request in flight.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
-            waiting: PendingLookups::new(settings.max_waiting),
+            pending_lookups: PendingLookups::new(settings.max_waiting),
             quotas: Quotas::new(settings.quotas.clone()),
             refreshes: BTreeMap::new(),
             decisions: Vec::new(),
@@ -100,12 +102,12 @@
 
     /// The number of requests that wait for a look-up or in the queue of their tenant.
     pub fn pending(&self) -> usize {
-        self.waiting.len() + self.quotas.queued()
+        self.pending_lookups.len() + self.quotas.queued()
     }
 
     /// When [`Admission::tick`] is due next; `None` if no request waits.
     pub fn next_due(&self) -> Option<Time> {
-        [self.waiting.next_due(), self.quotas.next_due()]
+        [self.pending_lookups.next_due(), self.quotas.next_due()]
             .into_iter()
             .flatten()
             .min()
@@ -127,16 +129,16 @@
         let Some(user) = pending.arrival.user.clone() else {
             return self.arrive_without_user(now, roster, pending, outputs);
         };
-        let view = roster.resolve(&user, now);
-        if !self.needs_lookup(now, &user, view, outputs) {
-            return self.judge(now, roster, view, pending, outputs);
+        let resolution = roster.resolve(&user, now);
+        if !self.needs_lookup(now, &user, resolution, outputs) {
+            return self.apply_resolution(now, roster, resolution, pending, outputs);
         }
         let max_wait = pending.arrival.remaining / IDENTITY_WAIT_DIVISOR;
         let until = now + self.settings.max_identity_wait.min(max_wait);
-        match self.waiting.add(now, until, user.clone(), pending) {
+        match self.pending_lookups.add(now, until, user.clone(), pending) {
             Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
-            // The limit on waiting requests is reached, so the request is judged by what is known now.
-            Err(pending) => self.judge(now, roster, view, pending, outputs),
+            // The limit on waiting requests is reached, so the request is decided by what is known now.
+            Err(pending) => self.apply_resolution(now, roster, resolution, pending, outputs),
         }
     }
 
@@ -154,15 +156,15 @@
         }
     }
 
-    /// Whether a request has to wait for the look-up of its user. Also asks for a refresh that it need not wait for.
+    /// Whether a request has to wait for the look-up of its user. Also requests a background refresh if one is due.
     fn needs_lookup(
         &mut self,
         now: Time,
         user: &User,
-        view: Resolution,
+        resolution: Resolution,
         outputs: &mut Vec<Output<T>>,
     ) -> bool {
-        match view {
+        match resolution {
             Resolution::Unknown => true,
             Resolution::Tenant { refresh, .. } => {
                 if refresh == Refresh::InBackground && self.may_refresh(now, user) {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Whether the refresh of a user may be asked for again, which is recorded as done now.
+    /// Whether a refresh of the user may be requested now. Records it, unless too many refreshes are remembered.
     fn may_refresh(&mut self, now: Time, user: &User) -> bool {
         let is_recent = |at: Time| now < at + MIN_REFRESH_INTERVAL;
         if self.refreshes.get(user).is_some_and(|at| is_recent(*at)) {
@@ -193,16 +195,16 @@
         true
     }
 
-    /// Rejects a request or offers it to the quota of its tenant, by what is known of its user.
-    fn judge(
+    /// Offers a request to the quota of its tenant, or rejects it, depending on the resolution of its user.
+    fn apply_resolution(
         &mut self,
         now: Time,
         roster: &Roster,
-        view: Resolution,
+        resolution: Resolution,
         mut pending: Pending<T>,
         outputs: &mut Vec<Output<T>>,
     ) {
-        match view {
+        match resolution {
             Resolution::Tenant { tenant, person, .. } => {
                 let route_tenant = pending.arrival.route_tenant;
                 if route_tenant.is_some_and(|expected| expected != tenant) {
@@ -212,7 +214,7 @@
                 self.offer(now, roster, pending, tenant, outputs);
             }
             Resolution::NoTenant => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
-            Resolution::Ambiguous => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
+            Resolution::Ambiguous => outputs.push(pending.reject(RejectReason::AmbiguousTenant, 0)),
             Resolution::Unknown => {
                 outputs.push(pending.reject(RejectReason::UnknownUser, UNKNOWN_USER_RETRY_AFTER));
             }
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Admits a request that its quota allows, unless its user was migrated while it waited.
+    /// Admits a request that its quota allows. Rejects it if its user is no longer the same person of the same tenant.
     fn admit(
         &mut self,
         now: Time,
@@ -271,16 +273,17 @@
         self.quotas
             .completed(now, tenant, result, 0, &mut self.decisions);
         let user = pending.arrival.user.as_deref();
-        let view = user.map_or(Resolution::Unknown, |user| roster.resolve(user, now));
-        let reason = if view == Resolution::Ambiguous {
-            RejectReason::ClaimedTwice
+        let resolution = user.map_or(Resolution::Unknown, |user| roster.resolve(user, now));
+        let reason = if resolution == Resolution::Ambiguous {
+            RejectReason::AmbiguousTenant
         } else {
             RejectReason::UnknownUser
         };
         pending.reject(reason, 0)
     }
 
-    /// Handles an update of what is known of a user: requests that wait for the look-up are judged by it.
+    /// Handles an update of what is known of a user: the requests that wait for the look-up of the user are offered to
+    /// quotas or rejected.
     pub fn user_updated(
         &mut self,
         now: Time,
@@ -288,13 +291,13 @@
         user: &str,
         outputs: &mut Vec<Output<T>>,
     ) {
-        for ended in self.waiting.finish(user) {
-            let view = roster.resolve(user, now);
-            self.judge(now, roster, view, ended.request, outputs);
+        for ended in self.pending_lookups.finish(user) {
+            let resolution = roster.resolve(user, now);
+            self.apply_resolution(now, roster, resolution, ended.request, outputs);
         }
     }
 
-    /// Handles that an admitted request has its final answer, which frees its place in the quota.
+    /// Handles the final answer of an admitted request, which frees its place in the quota.
     pub fn completed(
         &mut self,
         now: Time,
@@ -313,13 +316,14 @@
         self.apply_decisions(now, roster, outputs);
     }
 
-    /// Handles what is due: look-ups that took too long, waits in queues that are over, and quota that became free.
+    /// Handles what is due: look-ups that took too long, queued requests that may start, and those that waited too
+    /// long.
     pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
-        for ended in self.waiting.expire(now) {
-            // A stale record is still better than a rejection; the roster does not return records beyond their hard
-            // limit.
-            let view = roster.resolve(&ended.user, now);
-            self.judge(now, roster, view, ended.request, outputs);
+        for ended in self.pending_lookups.expire(now) {
+            // A stale record is still better than a rejection; the roster does not return records that are too old to
+            // be used.
+            let resolution = roster.resolve(&ended.user, now);
+            self.apply_resolution(now, roster, resolution, ended.request, outputs);
         }
         self.quotas.tick(now, &mut self.decisions);
         self.apply_decisions(now, roster, outputs);
@@ -327,7 +331,7 @@
 
     /// Drops waiting requests that were cancelled. They get no output any more.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
-        self.waiting
+        self.pending_lookups
             .cancel(|pending| is_cancelled(&pending.arrival.request));
         self.quotas
             .cancel(|pending| is_cancelled(&pending.arrival.request));
--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -2,7 +2,7 @@
 //!
 //! The caller does the I/O: it passes received bytes to [`Endpoint::receive`] and writes the bytes that
 //! [`Endpoint::take_output`] returns. [`Endpoint::poll_event`] returns the events that resulted, and
-//! [`Endpoint::next_timeout`] the time at which [`Endpoint::on_time`] is to be called.
+//! [`Endpoint::next_timeout`] the time at which [`Endpoint::handle_timeout`] is to be called.
 
 mod channels;
 mod event;
@@ -27,9 +27,9 @@
 use channels::Channel;
 
 const SECOND: Time = 1_000_000_000;
-/// Longest duration of the handshake, so that a peer that sends nothing cannot occupy a connection for ever.
+/// Longest duration of the handshake, so that a peer that sends nothing cannot occupy a connection forever.
 const HANDSHAKE_TIMEOUT: Time = 10 * SECOND;
-/// How long `close-ok` is awaited.
+/// How long `close-ok` is awaited before the connection ends without it.
 const CLOSE_TIMEOUT: Time = 5 * SECOND;
 
 /// The state of a connection. In the `Awaiting` states of the handshake, the peer's method of that name is expected
@@ -67,13 +67,13 @@
     events: VecDeque<Event>,
     /// When the handshake or the closing began, from which its timeout counts.
     phase_started: Time,
-    /// The time that was passed last.
+    /// The time that the caller passed to [`Endpoint::receive`] or [`Endpoint::handle_timeout`] last.
     now: Time,
     last_sent: Time,
     last_received: Time,
     peer_properties: FieldTable,
     /// Client: the `connection_name` that is sent to the server.
-    name: Option<String>,
+    connection_name: Option<String>,
 }
 
 /// The buffers and events are left out, since they may hold a password.
@@ -124,13 +124,13 @@
             last_sent: now,
             last_received: now,
             peer_properties: FieldTable::new(),
-            name: None,
+            connection_name: None,
         }
     }
 
     /// Client: sets the name that the server shows for the connection; `pipithub` by default.
     pub fn named(mut self, name: &str) -> Self {
-        self.name = Some(name.to_string());
+        self.connection_name = Some(name.to_string());
         self
     }
 
@@ -167,12 +167,12 @@
         self.output.split().freeze()
     }
 
-    /// Removes and returns the oldest event.
+    /// Removes and returns the oldest event; `None` if there is none.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// When [`Endpoint::on_time`] is to be called next; `None` if no timeout is pending.
+    /// When [`Endpoint::handle_timeout`] is to be called next; `None` if no timeout is pending.
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
             State::Closed => None,
@@ -189,7 +189,7 @@
 
     /// Handles timeouts: sends a heartbeat if one is due, ends a connection whose peer was silent for two heartbeat
     /// intervals (specification 4.2.7), and ends a handshake or closing that takes too long.
-    pub fn on_time(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         self.now = now;
         match self.state {
             State::Closed => {}
@@ -219,7 +219,10 @@
             return;
         };
         if self.now >= self.last_received + 2 * interval {
-            let fault = Fault::new(Code::ConnectionForced, "no heartbeat came");
+            let fault = Fault::new(
+                Code::ConnectionForced,
+                "the peer sent nothing for two heartbeat intervals",
+            );
             return self.finish(fault, false);
         }
         if self.now >= self.last_sent + interval / 2 {
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -14,7 +14,7 @@
 const MAX_SERVERS: usize = 32;
 const TLS_CHOICES: [(&str, Tls); 3] = [
     ("none", Tls::None),
-    ("start", Tls::Start),
+    ("start", Tls::StartTls),
     ("ldaps", Tls::Ldaps),
 ];
 const MINUTE_MS: i64 = 60_000;
@@ -22,7 +22,7 @@
 pub(super) fn read(node: &Reader<'_>) -> DirectoryConfig {
     let name = node.name();
     let servers = read_servers(node, &name);
-    let tls = node.choice("tls", Tls::Start, &TLS_CHOICES);
+    let tls = node.choice("tls", Tls::StartTls, &TLS_CHOICES);
     let ca = read_ca(node, tls, &name);
     let bind = node.child("bind").map(|bind| read_bind(&bind));
     let filter = read_filter(node);
@@ -34,8 +34,8 @@
         base: read_dn(node, "base").text,
         user_attribute: node.text("user-attribute").unwrap_or_else(|| "uid".into()),
         filter,
-        mark_attribute: node.text("mark-attribute"),
-        follow: node.flag("follow", false),
+        change_number_attribute: node.text("mark-attribute"),
+        content_sync: node.flag("follow", false),
         connections: node.integer("connections", 2, 1..=16) as usize,
         lookups,
         servers,
@@ -47,29 +47,31 @@
 
 /// A distinguished name, as written and as parsed.
 #[derive(Default)]
-pub(super) struct WrittenDn {
+pub(super) struct ParsedDn {
     pub(super) text: String,
     pub(super) dn: Dn,
 }
 
-pub(super) fn read_dn(node: &Reader<'_>, name: &str) -> WrittenDn {
+pub(super) fn read_dn(node: &Reader<'_>, name: &str) -> ParsedDn {
     let Some(given) = node.value(name) else {
         let help = "a distinguished name, as \"ou=north,dc=example\"";
         node.fault_with_help(format!("'{}' needs '{name}'", node.node_name()), help);
-        return WrittenDn::default();
+        return ParsedDn::default();
     };
     let text = given.text().to_string();
     let dn = Dn::parse(&text).unwrap_or_else(|error| {
         node.fault_at(given.span, error.to_string(), None);
         Dn::default()
     });
-    WrittenDn { text, dn }
+    ParsedDn { text, dn }
 }
 
 fn read_servers(node: &Reader<'_>, directory: &str) -> Vec<ServerConfig> {
     let servers: Vec<ServerConfig> = node.children("server").iter().map(read_server).collect();
     if servers.is_empty() || servers.len() > MAX_SERVERS {
-        node.fault(format!("directory '{directory}' needs one to 32 'server'"));
+        node.fault(format!(
+            "directory '{directory}' needs 1 to 32 'server' nodes"
+        ));
     }
     servers
 }
@@ -167,8 +169,7 @@
     let max_stale = node.duration("stale-most", default_stale, 200 * MS..=DAY);
     let negative = node.duration("negative", defaults.negative, 100 * MS..=HOUR);
     if max_stale < 2 * fresh {
-        let help =
-            "a fact is used while it is refreshed, for which it needs twice 'fresh' at least";
+        let help = "a record is used while it is refreshed, so 'stale-most' must be at least twice 'fresh'";
         node.fault_with_help("'stale-most' is less than twice 'fresh'", help);
     }
     Lifetimes {
@@ -183,7 +184,11 @@
     let text = given.map_or("", |given| given.text());
     let starts_at_ms = parse_time_of_day(text).unwrap_or_else(|| {
         let span = given.map_or(node.span(), |given| given.span);
-        node.fault_at(span, "this is no time of day", Some("as \"05:30\", in UTC"));
+        node.fault_at(
+            span,
+            "this is not a time of day",
+            Some("as \"05:30\", in UTC"),
+        );
         0
     });
     let lead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Tests of valid and invalid settings files.
 
 use pipithub_engine::policy::Idempotency;
-use pipithub_settings::{Config, FaultLine, WorkersConfig, duration};
+use pipithub_settings::{Config, FaultLine, WorkersConfig, parse_duration};
 
 /// The first line of the node `amqp` in the valid file.
 const AMQP_LINE: usize = 9;
@@ -77,8 +77,8 @@
     ));
 }
 
-/// Replaces a line of the valid file, from 1, by another text, and expects a fault at that line whose message contains
-/// `message`.
+/// Replaces a line of the valid file, counted from 1, by `text`. Expects a fault at that line and a fault whose message
+/// contains `message`.
 fn expect_fault(line: usize, text: &str, message: &str) {
     let mut lines: Vec<&str> = VALID.lines().collect();
     lines[line - 1] = text;
@@ -89,7 +89,7 @@
         faults.iter().any(|fault| fault.message.contains(message)),
         "{text}: {faults:?}"
     );
-    // The place of a node that spans several lines is its first line.
+    // The location of a node that spans several lines is its first line.
     let is_at_line =
         |fault: &FaultLine| fault.line == line || line == QUEUE_LINE && fault.line == AMQP_LINE;
     assert!(
@@ -107,21 +107,21 @@
 
 #[test]
 fn invalid_class_is_reported_with_line_and_reason() {
-    let view = |contents: &str, message: &str| {
+    let expect_class_fault = |contents: &str, message: &str| {
         expect_fault(3, &format!("class \"view\" {{ {contents} }}"), message);
     };
-    view("effect \"risky\"", "'effect' cannot be");
-    view("aim \"1s\"", "needs 'effect'");
-    view("effect \"safe\"; aim \"1 parsec\"", "'aim' cannot be");
-    view(
+    expect_class_fault("effect \"risky\"", "'effect' cannot be");
+    expect_class_fault("aim \"1s\"", "needs 'effect'");
+    expect_class_fault("effect \"safe\"; aim \"1 parsec\"", "'aim' cannot be");
+    expect_class_fault(
         "effect \"safe\"; aim \"5s\"; give-up \"1s\"",
         "give-up (1s) is before aim (5s)",
     );
-    view(
+    expect_class_fault(
         "effect \"safe\"; aim \"1s\"; aim \"2s\"",
         "'aim' is given twice",
     );
-    view("effect \"safe\"; dedup-window \"2s\"", "only a keyed class");
+    expect_class_fault("effect \"safe\"; dedup-window \"2s\"", "only a keyed class");
     expect_fault(
         5,
         "class \"change\" { effect \"keyed\" }",
@@ -181,7 +181,7 @@
         "given twice",
     );
     expect_fault(17, "log { format \"xml\" }", "'format' cannot be");
-    // The text is no KDL, whose parser chooses the message.
+    // The text is not KDL. The message is that of the KDL parser, so any is accepted.
     expect_fault(17, "log { ", "");
 }
 
@@ -200,10 +200,10 @@
 
 #[test]
 fn durations_are_parsed_and_invalid_ones_rejected() {
-    assert_eq!(duration("250ms"), Some(250_000_000));
-    assert_eq!(duration("1.5s"), Some(1_500_000_000));
+    assert_eq!(parse_duration("250ms"), Some(250_000_000));
+    assert_eq!(parse_duration("1.5s"), Some(1_500_000_000));
     for invalid in ["", "5", "ms", "-1s", "1e99h", "1 day", "NaNs", "infs"] {
-        assert_eq!(duration(invalid), None, "{invalid}");
+        assert_eq!(parse_duration(invalid), None, "{invalid}");
     }
 }
 
