--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -156,10 +156,17 @@
     let idle = fleet.measure_idle().await;
     let memory_mib = fleet.memory_mib();
     let replacement = fleet.measure_replacements(&idle).await?;
-    let zone_lost = fleet.change(|tier| tier.lose(1)).await?;
+    let zone_lost = fleet.change(|tier| tier.remove_zone(1)).await?;
     // A seventh of the 21 zones.
     let seventh_lost = fleet
-        .change(|tier| [tier.lose(2), tier.lose(3), tier.lose(4)].concat())
+        .change(|tier| {
+            [
+                tier.remove_zone(2),
+                tier.remove_zone(3),
+                tier.remove_zone(4),
+            ]
+            .concat()
+        })
         .await?;
     let cut = fleet.measure_cut().await;
     let recovery = fleet.measure_recovery().await?;
@@ -294,7 +301,8 @@
 
     /// Starts the outage and measures the front ends at its end.
     async fn measure_cut(&self) -> ResourceUse {
-        self.coordinator.behave(|behaviour| behaviour.cut = true);
+        self.coordinator
+            .change_behaviour(|behaviour| behaviour.cut = true);
         tokio::time::sleep(CUT_TIME.saturating_sub(IDLE_TIME)).await;
         self.measure_idle().await
     }
@@ -303,10 +311,11 @@
     async fn measure_recovery(&mut self) -> Result<Recovery> {
         self.tier.replace(20);
         let index = self.coordinator.publish(false, &[], &self.tier);
-        self.coordinator.forget();
+        self.coordinator.clear_history();
         let published = wall_ns();
         let before = self.read();
-        self.coordinator.behave(|behaviour| behaviour.cut = false);
+        self.coordinator
+            .change_behaviour(|behaviour| behaviour.cut = false);
         let writing = tokio::time::timeout(RECONNECT_PATIENCE, self.watch_writing(&before))
             .await
             .map_err(|_| "not all front ends reconnected in time")?;
--- a/crates/pipithub-emulator/src/broker/consume.rs
+++ b/crates/pipithub-emulator/src/broker/consume.rs
@@ -3,7 +3,7 @@
 use pipithub_amqp::{Code, Fault, Method, ShortStr};
 
 use super::core::Broker;
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::{ChannelKey, Consumer, ConsumerKey, Unacked};
 
 /// A `basic.consume`, without its reply's form.
@@ -63,7 +63,7 @@
                 Ok(None)
             }
             Method::BasicCancelOk { .. } => Ok(None),
-            method => Err(not_offered(&method)),
+            method => Err(not_implemented(&method)),
         }
     }
 
--- a/crates/pipithub-emulator/src/broker/delivery.rs
+++ b/crates/pipithub-emulator/src/broker/delivery.rs
@@ -96,5 +96,8 @@
     let Some(consumer) = channel.consumers.get(&key.tag) else {
         return false;
     };
-    !connection.congested && !channel.stopped && channel.has_capacity() && consumer.has_capacity()
+    !connection.congested
+        && !channel.flow_stopped
+        && channel.has_capacity()
+        && consumer.has_capacity()
 }
--- a/crates/pipithub-emulator/src/broker/dispatch.rs
+++ b/crates/pipithub-emulator/src/broker/dispatch.rs
@@ -44,7 +44,7 @@
             class::BASIC => self.basic_method(at, method, content),
             class::CONFIRM | class::TX => self.mode_method(at, method),
             _ if matches!(method, Method::ChannelFlowOk { .. }) => Ok(None),
-            _ => Err(not_offered(&method)),
+            _ => Err(not_implemented(&method)),
         }
     }
 
@@ -62,7 +62,7 @@
 }
 
 /// The fault for a method that the broker does not carry out.
-pub(super) fn not_offered(method: &Method) -> Fault {
+pub(super) fn not_implemented(method: &Method) -> Fault {
     Fault::new(
         Code::NotImplemented,
         format!("{} is not offered", method.name()),
--- a/crates/pipithub-emulator/src/broker/entities.rs
+++ b/crates/pipithub-emulator/src/broker/entities.rs
@@ -185,7 +185,7 @@
     /// In confirm mode, the number of the last publish.
     pub(super) last_confirm: Option<u64>,
     /// The client asked by `channel.flow` for no further content.
-    pub(super) stopped: bool,
+    pub(super) flow_stopped: bool,
 }
 
 impl Channel {
--- a/crates/pipithub-emulator/src/broker/exchange.rs
+++ b/crates/pipithub-emulator/src/broker/exchange.rs
@@ -3,7 +3,7 @@
 use pipithub_amqp::{Code, Fault, Method, ShortStr};
 
 use super::core::Broker;
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::{Binding, BindingTarget, Exchange, ExchangeKind, ExchangeProperties};
 
 impl Broker {
@@ -69,7 +69,7 @@
                 self.unbind(&source, &Binding::new(routing_key, target));
                 Ok((!no_wait).then_some(Method::ExchangeUnbindOk {}))
             }
-            method => Err(not_offered(&method)),
+            method => Err(not_implemented(&method)),
         }
     }
 
--- a/crates/pipithub-emulator/src/broker/publish.rs
+++ b/crates/pipithub-emulator/src/broker/publish.rs
@@ -6,7 +6,7 @@
 use pipithub_conformance::record::Seen;
 
 use super::core::{Broker, NANOS_PER_MS};
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::{ChannelKey, Message};
 use super::exchange::no_exchange;
 
@@ -36,7 +36,7 @@
             immediate,
         } = method
         else {
-            return Err(not_offered(&method));
+            return Err(not_implemented(&method));
         };
         if immediate {
             return Err(Fault::new(Code::NotImplemented, "immediate is not offered"));
--- a/crates/pipithub-emulator/src/broker/queue.rs
+++ b/crates/pipithub-emulator/src/broker/queue.rs
@@ -4,7 +4,7 @@
 
 use super::arguments::QueueArguments;
 use super::core::Broker;
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::{Binding, BindingTarget, ChannelKey, ConnectionId, Queue, QueueProperties};
 
 /// A `queue.declare`, without its reply's form.
@@ -82,7 +82,7 @@
                 self.unbind(&exchange, &Binding::new(routing_key, target));
                 Ok(Some(Method::QueueUnbindOk {}))
             }
-            method => Err(not_offered(&method)),
+            method => Err(not_implemented(&method)),
         }
     }
 
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -196,7 +196,7 @@
     fn distribute(&self, state: &mut State) {
         loop {
             for seen in state.broker.take_records() {
-                self.settings.recorder.note(&self.address, seen);
+                self.settings.recorder.record(&self.address, seen);
             }
             let outputs = state.broker.take_outputs();
             if outputs.is_empty() {
--- a/crates/pipithub-emulator/src/broker/session.rs
+++ b/crates/pipithub-emulator/src/broker/session.rs
@@ -142,7 +142,7 @@
         let Some(channel) = self.channel(at) else {
             return;
         };
-        channel.stopped = !active;
+        channel.flow_stopped = !active;
         let queues: Vec<ShortStr> = channel.consumed_queues().collect();
         self.pending_delivery.extend(queues);
     }
--- a/crates/pipithub-emulator/src/broker/settle.rs
+++ b/crates/pipithub-emulator/src/broker/settle.rs
@@ -5,7 +5,7 @@
 
 use super::core::Broker;
 use super::dead_letter::REJECTED;
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::{Channel, ChannelKey, Message, Unacked};
 
 /// What a client makes of a delivery.
@@ -41,7 +41,7 @@
                 delivery_tag,
                 requeue,
             } => (delivery_tag, false, Settlement::Reject { requeue }),
-            _ => return Err(not_offered(method)),
+            _ => return Err(not_implemented(method)),
         };
         let Some(channel) = self.channel(at) else {
             return Ok(None);
--- a/crates/pipithub-emulator/src/broker/transaction.rs
+++ b/crates/pipithub-emulator/src/broker/transaction.rs
@@ -5,7 +5,7 @@
 use pipithub_amqp::{Code, Fault, Method};
 
 use super::core::Broker;
-use super::dispatch::{Reply, not_offered};
+use super::dispatch::{Reply, not_implemented};
 use super::entities::ChannelKey;
 use super::publish::Publication;
 use super::settle::TagSettlement;
@@ -33,7 +33,7 @@
             Method::TxCommit {} => self.commit(at),
             Method::TxRollback {} => self.rollback(at),
             Method::ConfirmSelect { no_wait } => self.select_confirms(at, no_wait),
-            method => Err(not_offered(&method)),
+            method => Err(not_implemented(&method)),
         }
     }
 
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -238,7 +238,7 @@
     }
 
     /// Drops past events, as after a restart: a front end that connects again gets a snapshot.
-    pub fn forget(&self) {
+    pub fn clear_history(&self) {
         self.shared.log().history.clear();
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Changes the behaviour, for open streams as well.
-    pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
+    pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         self.shared.behaviour.send_modify(change);
     }
 
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -13,7 +13,7 @@
 
 const MAX_REQUEST_BYTES: usize = 4096;
 /// The interval of writes to a stream with limited bandwidth.
-const SLOW_STEP: Duration = Duration::from_millis(50);
+const THROTTLE_INTERVAL: Duration = Duration::from_millis(50);
 /// The timer interval of a stream without comments, whose ticks are ignored.
 const NO_COMMENTS: Duration = Duration::from_secs(3600);
 const HEAD: &str =
@@ -169,14 +169,14 @@
     shared: &Shared,
 ) -> io::Result<()> {
     let rate = shared.behaviour.borrow().rate;
-    let step = rate.map_or(usize::MAX, |rate| {
-        (rate as usize * SLOW_STEP.as_millis() as usize / 1000).max(1)
+    let chunk_bytes = rate.map_or(usize::MAX, |rate| {
+        (rate as usize * THROTTLE_INTERVAL.as_millis() as usize / 1000).max(1)
     });
-    for piece in bytes.chunks(step.min(bytes.len().max(1))) {
-        writer.write_all(piece).await?;
-        count_sent(shared, piece.len());
+    for chunk in bytes.chunks(chunk_bytes.min(bytes.len().max(1))) {
+        writer.write_all(chunk).await?;
+        count_sent(shared, chunk.len());
         if rate.is_some() {
-            tokio::time::sleep(SLOW_STEP).await;
+            tokio::time::sleep(THROTTLE_INTERVAL).await;
         }
     }
     Ok(())
--- a/crates/pipithub-emulator/src/coordinator/tier.rs
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -12,7 +12,7 @@
 pub struct Tier {
     hosts: Vec<Value>,
     /// Number of workers created so far.
-    made: u64,
+    created: u64,
 }
 
 impl Tier {
@@ -20,7 +20,7 @@
     pub fn new(workers: usize, zones: usize) -> Self {
         let mut tier = Tier {
             hosts: Vec::new(),
-            made: 0,
+            created: 0,
         };
         for index in 0..workers {
             let host = tier.make_host(index, index % zones.max(1));
@@ -31,18 +31,18 @@
 
     /// A new worker at an index, with a name and a start time of its own.
     fn make_host(&mut self, index: usize, zone: usize) -> Value {
-        self.made += 1;
-        let made = self.made;
+        self.created += 1;
+        let created = self.created;
         let [high, middle, low] = [index >> 14 & 63, index >> 7 & 127, index & 127];
         json!({
-            "host": format!("worker-{index:05}-{made:06}"),
+            "host": format!("worker-{index:05}-{created:06}"),
             "dial": format!("10.{high}.{middle}.{low}:30012"),
             "site": format!("zone-{zone}"),
             "block": index / BLOCK_WORKERS,
             "class": "big",
             "health": "SERVING",
             "share": 1.0,
-            "born_ms": FIRST_BIRTH_MS + made,
+            "born_ms": FIRST_BIRTH_MS + created,
         })
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Removes the workers of one zone and returns the changes for an event.
-    pub fn lose(&mut self, zone: usize) -> Vec<Value> {
+    pub fn remove_zone(&mut self, zone: usize) -> Vec<Value> {
         let site = format!("zone-{zone}");
         let (lost, left): (Vec<Value>, Vec<Value>) = self
             .hosts
--- a/crates/pipithub-emulator/src/directory/filter.rs
+++ b/crates/pipithub-emulator/src/directory/filter.rs
@@ -47,8 +47,8 @@
 fn take_substring(rest: &mut &str, substring: &SubstringChoice) -> bool {
     match substring {
         SubstringChoice::Initial(piece) => match rest.strip_prefix(folded(piece).as_str()) {
-            Some(behind) => {
-                *rest = behind;
+            Some(remainder) => {
+                *rest = remainder;
                 true
             }
             None => false,
--- a/crates/pipithub-emulator/src/directory/session.rs
+++ b/crates/pipithub-emulator/src/directory/session.rs
@@ -91,7 +91,7 @@
                 count => framer.push(&buffer[..count]),
             },
             change = changes.recv() => {
-                let Some(messages) = session.follow(change) else {
+                let Some(messages) = session.messages_for_change(change) else {
                     return Ok(SessionEnd::Closed);
                 };
                 if !messages.is_empty() {
@@ -204,7 +204,7 @@
     }
 
     /// The messages that a change causes for the persistent searches; `None`: the session ends.
-    fn follow(&self, change: Result<Change, RecvError>) -> Option<Vec<LdapMessage>> {
+    fn messages_for_change(&self, change: Result<Change, RecvError>) -> Option<Vec<LdapMessage>> {
         let change = change.ok()?;
         let tree = self.shared.tree();
         let is_silent = tree.faults.silent;
--- a/crates/pipithub-emulator/src/list.rs
+++ b/crates/pipithub-emulator/src/list.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-pub use self::slice::Listed;
+pub use self::slice::ListedWorker;
 use crate::http;
 use crate::recorder::Recorder;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct VersionedWorker {
     version: u64,
-    worker: Listed,
+    worker: ListedWorker,
 }
 
 /// The state of the server's tasks that is guarded by one lock.
@@ -33,7 +33,7 @@
     /// Increases with each change.
     version: u64,
     /// The workers, by the names of their slices.
-    workers: BTreeMap<String, Listed>,
+    workers: BTreeMap<String, ListedWorker>,
     history: VecDeque<VersionedWorker>,
     /// The delay of answers and changes.
     delay: Duration,
@@ -56,7 +56,7 @@
     }
 
     /// Sets the state of a worker.
-    fn set(&self, worker: Listed) {
+    fn set(&self, worker: ListedWorker) {
         let mut state = self.lock();
         state.version += 1;
         let version = state.version;
@@ -86,14 +86,14 @@
     }
 
     /// Records that a front end is notified of the state of a worker.
-    fn record_sent(&self, front_end: &str, worker: &Listed) {
+    fn record_sent(&self, front_end: &str, worker: &ListedWorker) {
         let seen = Seen::Told {
             front_end: front_end.to_string(),
             worker: format!("{}:{}", worker.ip, worker.port),
             state: worker.state.clone(),
             started_ms: Some(worker.started_ms).filter(|started| *started > 0),
         };
-        self.recorder.note(&self.address, seen);
+        self.recorder.record(&self.address, seen);
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl ListServer {
-    /// Starts a server with an empty list. `POST /control/worker` with a [`Listed`] in JSON sets a worker, `POST
+    /// Starts a server with an empty list. `POST /control/worker` with a [`ListedWorker`] in JSON sets a worker, `POST
     /// /control/delay?ms=N` delays changes, `POST /control/break` ends all watches, `POST /control/forget` drops the
     /// history as well. Fails if the address cannot be bound.
     pub async fn start(listen: SocketAddr, recorder: Recorder) -> std::io::Result<Self> {
@@ -146,7 +146,7 @@
     }
 
     /// Adds a worker or changes its state; the state `gone` removes it.
-    pub fn set(&self, worker: Listed) {
+    pub fn set(&self, worker: ListedWorker) {
         self.shared.set(worker);
     }
 
--- a/crates/pipithub-emulator/src/list/api.rs
+++ b/crates/pipithub-emulator/src/list/api.rs
@@ -13,7 +13,7 @@
 use pipithub_endpoints::object::{EndpointSliceList, ListMeta};
 
 use super::watch::watch;
-use super::{Listed, Shared};
+use super::{ListedWorker, Shared};
 
 const SLICES_PREFIX: &str = "/apis/discovery.k8s.io/v1/namespaces/";
 const SLICES_SUFFIX: &str = "/endpointslices";
@@ -95,7 +95,7 @@
             },
             items: slices.collect(),
         };
-        let workers: Vec<Listed> = state.workers.values().cloned().collect();
+        let workers: Vec<ListedWorker> = state.workers.values().cloned().collect();
         (list, workers, state.delay)
     };
     tokio::time::sleep(delay).await;
--- a/crates/pipithub-emulator/src/list/slice.rs
+++ b/crates/pipithub-emulator/src/list/slice.rs
@@ -10,7 +10,8 @@
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Listed {
+#[serde(rename = "Listed")]
+pub struct ListedWorker {
     /// The worker's IP address.
     pub ip: String,
     /// The worker's port. Each address and port has a slice of its own.
@@ -30,7 +31,7 @@
     pub started_ms: u64,
 }
 
-impl Listed {
+impl ListedWorker {
     /// The name of its slice.
     pub(super) fn slice_name(&self) -> String {
         format!("workers-{}-{}", self.ip.replace(['.', ':'], "-"), self.port)
--- a/crates/pipithub-emulator/src/proxy.rs
+++ b/crates/pipithub-emulator/src/proxy.rs
@@ -18,7 +18,7 @@
 
 /// The fault that the proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Damage {
+pub enum ProxyFault {
     /// Data is forwarded unchanged.
     #[default]
     None,
@@ -27,7 +27,7 @@
     /// The direction to the client is closed; that to the server stays open.
     HalfClose,
     /// Everything that the server sends is dropped.
-    Swallow,
+    DropData,
     /// One bit of each chunk from the server is flipped.
     Corrupt,
 }
@@ -42,15 +42,15 @@
 struct Shared {
     /// The address of the server behind the proxy.
     upstream: String,
-    damage: Mutex<Damage>,
+    fault: Mutex<ProxyFault>,
     /// A counter whose change cuts all connections.
     cuts: watch::Sender<u64>,
-    damaged: AtomicU64,
+    affected_chunks: AtomicU64,
 }
 
 impl Shared {
-    fn damage(&self) -> Damage {
-        *self.damage.lock().unwrap_or_else(PoisonError::into_inner)
+    fn fault(&self) -> ProxyFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -75,9 +75,9 @@
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             upstream: to,
-            damage: Mutex::default(),
+            fault: Mutex::default(),
             cuts: watch::channel(0).0,
-            damaged: AtomicU64::new(0),
+            affected_chunks: AtomicU64::new(0),
         });
         let task = tokio::spawn(accept(listener, shared.clone()));
         Ok(Proxy {
@@ -93,17 +93,17 @@
     }
 
     /// Sets the fault, for existing connections as well.
-    pub fn set(&self, damage: Damage) {
+    pub fn set_fault(&self, fault: ProxyFault) {
         *self
             .shared
-            .damage
+            .fault
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = damage;
+            .unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
     /// How many chunks from the server have been subject to a fault so far.
-    pub fn met(&self) -> u64 {
-        self.shared.damaged.load(Ordering::Relaxed)
+    pub fn affected_chunks(&self) -> u64 {
+        self.shared.affected_chunks.load(Ordering::Relaxed)
     }
 
     /// Drops all connections.
@@ -118,7 +118,7 @@
         let mut cuts = shared.cuts.subscribe();
         tokio::spawn(async move {
             tokio::select! {
-                _ = pass(stream, shared) => {}
+                _ = forward(stream, shared) => {}
                 _ = cuts.changed() => {}
             }
         });
@@ -126,20 +126,20 @@
 }
 
 /// Forwards data in both directions, each until its sender closes it.
-async fn pass(client: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
+async fn forward(client: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
     let server = TcpStream::connect(&shared.upstream).await?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     let (to_server, to_client) = tokio::join!(
-        pass_one_way(client_read, server_write, &shared, Direction::ToServer),
-        pass_one_way(server_read, client_write, &shared, Direction::ToClient),
+        forward_one_way(client_read, server_write, &shared, Direction::ToServer),
+        forward_one_way(server_read, client_write, &shared, Direction::ToClient),
     );
     to_server.and(to_client)
 }
 
-async fn pass_one_way(
+async fn forward_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     shared: &Shared,
@@ -152,20 +152,20 @@
         if count == 0 {
             return to.shutdown().await;
         }
-        let damage = shared.damage();
-        if is_to_client && damage != Damage::None {
-            shared.damaged.fetch_add(1, Ordering::Relaxed);
+        let fault = shared.fault();
+        if is_to_client && fault != ProxyFault::None {
+            shared.affected_chunks.fetch_add(1, Ordering::Relaxed);
         }
-        match damage {
-            Damage::Delay(by) => tokio::time::sleep(by).await,
-            Damage::HalfClose if is_to_client => {
+        match fault {
+            ProxyFault::Delay(by) => tokio::time::sleep(by).await,
+            ProxyFault::HalfClose if is_to_client => {
                 to.shutdown().await?;
                 // Further data is read and dropped, so that the server does not notice the closed connection.
                 while from.read(&mut buffer).await? > 0 {}
                 return Ok(());
             }
-            Damage::Swallow if is_to_client => continue,
-            Damage::Corrupt if is_to_client => buffer[count / 2] ^= CORRUPTED_BIT,
+            ProxyFault::DropData if is_to_client => continue,
+            ProxyFault::Corrupt if is_to_client => buffer[count / 2] ^= CORRUPTED_BIT,
             _ => {}
         }
         to.write_all(&buffer[..count]).await?;
--- a/crates/pipithub-emulator/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Writes a record with the current time; `at` is the service that saw the event.
-    pub fn note(&self, at: &str, seen: Seen) {
+    /// Writes a record with the current time; `observer` is the service that saw the event.
+    pub fn record(&self, observer: &str, seen: Seen) {
         let Some(sink) = &self.sink else { return };
         let record = Record {
             time_ns: wall_ns(),
-            observer: at.to_string(),
+            observer: observer.to_string(),
             seen,
         };
         match &mut *sink.lock().unwrap_or_else(PoisonError::into_inner) {
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// How many datagrams the relay buffers; further ones are lost.
-const MAX_UNDER_WAY: usize = 1_000;
+const MAX_IN_FLIGHT: usize = 1_000;
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
@@ -40,7 +40,7 @@
 struct Shared {
     conditions: watch::Sender<LinkConditions>,
     destination: Mutex<Option<SocketAddr>>,
-    under_way: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 impl Shared {
@@ -52,16 +52,16 @@
     }
 
     /// Counts a further buffered datagram; false if the buffer is full.
-    fn take_place(&self) -> bool {
-        if self.under_way.fetch_add(1, Ordering::Relaxed) < MAX_UNDER_WAY {
+    fn reserve_slot(&self) -> bool {
+        if self.in_flight.fetch_add(1, Ordering::Relaxed) < MAX_IN_FLIGHT {
             return true;
         }
-        self.release_place();
+        self.release_slot();
         false
     }
 
-    fn release_place(&self) {
-        self.under_way.fetch_sub(1, Ordering::Relaxed);
+    fn release_slot(&self) {
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -79,21 +79,24 @@
 }
 
 impl Relay {
-    /// Starts a relay on loopback without a destination yet. `seen` is called with every datagram that arrives,
+    /// Starts a relay on loopback without a destination yet. `on_datagram` is called with every datagram that arrives,
     /// before the conditions apply to it.
-    pub async fn start(seed: u64, seen: impl Fn(&[u8]) + Send + 'static) -> std::io::Result<Relay> {
+    pub async fn start(
+        seed: u64,
+        on_datagram: impl Fn(&[u8]) + Send + 'static,
+    ) -> std::io::Result<Relay> {
         let socket = Arc::new(UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?);
         let address = socket.local_addr()?;
         let shared = Arc::new(Shared {
             conditions: watch::channel(LinkConditions::default()).0,
             destination: Mutex::default(),
-            under_way: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
         });
         let task = tokio::spawn(relay(
             socket,
             shared.clone(),
             SmallRng::seed_from_u64(seed),
-            seen,
+            on_datagram,
         ));
         Ok(Relay {
             address,
@@ -126,17 +129,17 @@
     socket: Arc<UdpSocket>,
     shared: Arc<Shared>,
     mut rng: SmallRng,
-    seen: impl Fn(&[u8]),
+    on_datagram: impl Fn(&[u8]),
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     // When the link is free again, at the rate that is set.
-    let mut free = Instant::now();
+    let mut idle_from = Instant::now();
     loop {
         let Ok((count, _)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         let bytes = &buffer[..count];
-        seen(bytes);
+        on_datagram(bytes);
         let conditions = *shared.conditions.borrow();
         if conditions.cut || rng.random::<f64>() < conditions.loss {
             continue;
@@ -144,12 +147,12 @@
         let mut sent = Instant::now();
         let transmission = (bytes.len() as u64 * NANOS_PER_SECOND).checked_div(conditions.rate);
         if let Some(nanoseconds) = transmission {
-            free = free.max(sent) + Duration::from_nanos(nanoseconds);
-            sent = free;
+            idle_from = idle_from.max(sent) + Duration::from_nanos(nanoseconds);
+            sent = idle_from;
         }
         let copies = 1 + usize::from(rng.random::<f64>() < conditions.duplication);
         for _ in 0..copies {
-            if !shared.take_place() {
+            if !shared.reserve_slot() {
                 continue;
             }
             let due = sent + conditions.delay + conditions.jitter.mul_f64(rng.random());
@@ -169,5 +172,5 @@
     if let Some(destination) = shared.destination().filter(|_| is_open) {
         let _ = socket.send_to(&bytes, destination).await;
     }
-    shared.release_place();
+    shared.release_slot();
 }
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -27,17 +27,17 @@
     /// The time of a fetch at full speed.
     pub fetch: Duration,
     /// How many concurrent fetches run at full speed; with more, all slow down in proportion.
-    pub at_once: usize,
+    pub full_speed_fetches: usize,
     /// How many concurrent fetches are accepted; further ones are rejected.
-    pub limit: usize,
+    pub max_fetches: usize,
 }
 
 impl Default for StoreSettings {
     fn default() -> Self {
         StoreSettings {
             fetch: Duration::from_millis(300),
-            at_once: 8,
-            limit: 40,
+            full_speed_fetches: 8,
+            max_fetches: 40,
         }
     }
 }
@@ -68,13 +68,13 @@
     }
 
     /// Multiplies the time of fetches by a factor; 1 is the usual speed.
-    pub fn slow(&self, factor: f64) {
+    pub fn set_slowness(&self, factor: f64) {
         let thousandths = (factor.clamp(0.0, 1e6) * 1000.0) as u64;
         self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
     /// Rejects all fetches, or accepts them again.
-    pub fn halt(&self, halted: bool) {
+    pub fn set_halted(&self, halted: bool) {
         self.halted.store(halted, Ordering::Relaxed);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Releases a key whose request did not run.
-    fn give_back(&self, key: &str) {
+    fn release(&self, key: &str) {
         self.keys().remove(key);
     }
 
@@ -109,14 +109,14 @@
     async fn fetch(&self) -> bool {
         let settings = self.settings;
         let active = self.active.fetch_add(1, Ordering::Relaxed) + 1;
-        let is_taken = active <= settings.limit && !self.is_halted();
-        if is_taken {
-            let crowding = (active as f64 / settings.at_once.max(1) as f64).max(1.0);
+        let is_accepted = active <= settings.max_fetches && !self.is_halted();
+        if is_accepted {
+            let contention = (active as f64 / settings.full_speed_fetches.max(1) as f64).max(1.0);
             let slowness = self.slowness.load(Ordering::Relaxed) as f64 / 1000.0;
-            tokio::time::sleep(settings.fetch.mul_f64(crowding * slowness)).await;
+            tokio::time::sleep(settings.fetch.mul_f64(contention * slowness)).await;
         }
         self.active.fetch_sub(1, Ordering::Relaxed);
-        is_taken && !self.is_halted()
+        is_accepted && !self.is_halted()
     }
 
     /// Executes a command; false if it was rejected or is unknown.
@@ -129,10 +129,10 @@
                 let window = Duration::from_millis(ms.parse().unwrap_or(0));
                 return self.claim(key, window);
             }
-            "UNKEY" => self.give_back(argument),
-            "SLOW" => self.slow(argument.parse().unwrap_or(1.0)),
-            "HALT" => self.halt(true),
-            "GO" => self.halt(false),
+            "UNKEY" => self.release(argument),
+            "SLOW" => self.set_slowness(argument.parse().unwrap_or(1.0)),
+            "HALT" => self.set_halted(true),
+            "GO" => self.set_halted(false),
             _ => return false,
         }
         true
@@ -232,6 +232,6 @@
 }
 
 /// Gives a key back: its request did not run.
-pub(crate) async fn give_back(address: &str, key: &str) {
+pub(crate) async fn release(address: &str, key: &str) {
     let _ = send_line(address, &format!("UNKEY {}", one_line(key))).await;
 }
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -142,7 +142,7 @@
             .iter()
             .map(|request| self.now + (request.remaining_work.max(0.0) / speed) as Time + 1)
             .min();
-        let is_warming_up = self.warmth() < 1.0 && !self.running.is_empty();
+        let is_warming_up = self.current_weight() < 1.0 && !self.running.is_empty();
         let warm_up = is_warming_up.then_some(self.now + WARM_UP_STEP);
         let load = self
             .functions
@@ -161,14 +161,15 @@
     }
 
     /// The share of its capacity that it has now.
-    fn warmth(&self) -> f64 {
-        self.settings.warmth(self.now.saturating_sub(self.started))
+    fn current_weight(&self) -> f64 {
+        self.settings
+            .weight_at_age(self.now.saturating_sub(self.started))
     }
 
     /// Work that each running request gets done in a unit of time.
     fn request_speed(&self) -> f64 {
         let cores_each = self.settings.cores / self.running.len().max(1) as f64;
-        self.settings.speed * self.warmth() * cores_each.min(1.0)
+        self.settings.speed * self.current_weight() * cores_each.min(1.0)
     }
 
     fn finish_requests(&mut self) {
--- a/crates/pipithub-emulator/src/worker/core/loads.rs
+++ b/crates/pipithub-emulator/src/worker/core/loads.rs
@@ -135,12 +135,12 @@
     /// Begins queued loads, as far as the limit on loads at a time allows.
     pub(super) fn begin_loads(&mut self) {
         let functions = self.functions.values();
-        let mut under_way: usize = functions.map(|function| function.loads.len()).sum();
+        let mut active_loads: usize = functions.map(|function| function.loads.len()).sum();
         let end = self.now + self.settings.load;
         for (name, function) in &mut self.functions {
-            while function.queued_loads > 0 && under_way < self.settings.loads_at_once {
+            while function.queued_loads > 0 && active_loads < self.settings.max_concurrent_loads {
                 function.queued_loads -= 1;
-                under_way += 1;
+                active_loads += 1;
                 if self.has_store {
                     function.loads.push(Load::Fetching);
                     self.events.push(WorkerEvent::Fetch(name.clone()));
--- a/crates/pipithub-emulator/src/worker/core/requests.rs
+++ b/crates/pipithub-emulator/src/worker/core/requests.rs
@@ -133,7 +133,7 @@
         if self.settings.overload_factor <= 0.0 || self.overloaded || is_warm {
             return;
         }
-        let bound = self.settings.overload_bound(self.warmth());
+        let bound = self.settings.overload_bound(self.current_weight());
         let received = self.arrivals.len() as f64;
         if received > bound + OVERLOAD_SLACK {
             self.overloaded = true;
--- a/crates/pipithub-emulator/src/worker/core/tests.rs
+++ b/crates/pipithub-emulator/src/worker/core/tests.rs
@@ -13,29 +13,32 @@
     }
 }
 
-fn run(worker: &mut WorkerCore, until: Time) -> Vec<(Time, WorkerEvent)> {
-    let mut all: Vec<_> = worker
+fn run_until(worker: &mut WorkerCore, until: Time) -> Vec<(Time, WorkerEvent)> {
+    let mut events: Vec<_> = worker
         .take_events()
         .into_iter()
-        .map(|h| (worker.now, h))
+        .map(|event| (worker.now, event))
         .collect();
-    while let Some(due) = worker.next_due().filter(|d| *d <= until) {
+    while let Some(due) = worker.next_due().filter(|due| *due <= until) {
         worker.on_time(due);
-        all.extend(worker.take_events().into_iter().map(|h| (due, h)));
+        events.extend(worker.take_events().into_iter().map(|event| (due, event)));
     }
     worker.on_time(until);
-    all.extend(worker.take_events().into_iter().map(|h| (until, h)));
-    all
+    events.extend(worker.take_events().into_iter().map(|event| (until, event)));
+    events
 }
 
-fn done(all: &[(Time, WorkerEvent)], wanted: u64) -> Option<(Time, Result<Placement, Rejection>)> {
-    all.iter().find_map(|(t, h)| match h {
-        WorkerEvent::Finished { id, result, .. } if *id == wanted => Some((*t, *result)),
+fn outcome_of(
+    events: &[(Time, WorkerEvent)],
+    wanted: u64,
+) -> Option<(Time, Result<Placement, Rejection>)> {
+    events.iter().find_map(|(time, event)| match event {
+        WorkerEvent::Finished { id, result, .. } if *id == wanted => Some((*time, *result)),
         _ => None,
     })
 }
 
-fn warm() -> WorkerSettings {
+fn warm_settings() -> WorkerSettings {
     WorkerSettings {
         initial_weight: 1.0,
         ..WorkerSettings::default()
@@ -44,22 +47,25 @@
 
 #[test]
 fn first_request_loads_the_model_for_the_next() {
-    let mut worker = WorkerCore::new(warm(), false, 0);
+    let mut worker = WorkerCore::new(warm_settings(), false, 0);
     worker.receive(0, request(1, "f"));
     worker.receive(100 * NANOS_PER_MS, request(2, "f"));
-    let all = run(&mut worker, 1_000 * NANOS_PER_MS);
+    let events = run_until(&mut worker, 1_000 * NANOS_PER_MS);
     assert_eq!(
-        done(&all, 1).map(|d| (d.0 / NANOS_PER_MS, d.1)),
+        outcome_of(&events, 1).map(|d| (d.0 / NANOS_PER_MS, d.1)),
         Some((560, Ok(Placement::BeganLoad)))
     );
-    assert_eq!(done(&all, 2).map(|d| d.1), Some(Ok(Placement::AwaitedLoad)));
+    assert_eq!(
+        outcome_of(&events, 2).map(|d| d.1),
+        Some(Ok(Placement::AwaitedLoad))
+    );
     worker.receive(1_000 * NANOS_PER_MS, request(3, "f"));
-    let all = run(&mut worker, 2_000 * NANOS_PER_MS);
+    let events = run_until(&mut worker, 2_000 * NANOS_PER_MS);
     assert_eq!(
-        done(&all, 3).map(|d| (d.0 / NANOS_PER_MS, d.1)),
+        outcome_of(&events, 3).map(|d| (d.0 / NANOS_PER_MS, d.1)),
         Some((1_060, Ok(Placement::Warm)))
     );
-    run(&mut worker, 12_000 * NANOS_PER_MS);
+    run_until(&mut worker, 12_000 * NANOS_PER_MS);
     assert_eq!(worker.index(), []);
 }
 
@@ -68,7 +74,7 @@
     let mut worker = WorkerCore::new(
         WorkerSettings {
             memory_mb: 8_000.0,
-            ..warm()
+            ..warm_settings()
         },
         false,
         0,
@@ -77,33 +83,36 @@
     worker.receive(0, request(2, "b"));
     worker.receive(0, request(3, "c"));
     assert_eq!(
-        done(&run(&mut worker, NANOS_PER_MS), 3).map(|d| d.1),
+        outcome_of(&run_until(&mut worker, NANOS_PER_MS), 3).map(|d| d.1),
         Some(Err(Rejection::OutOfMemory))
     );
-    run(&mut worker, 1_000 * NANOS_PER_MS);
+    run_until(&mut worker, 1_000 * NANOS_PER_MS);
     worker.receive(1_000 * NANOS_PER_MS, request(4, "c"));
-    let all = run(&mut worker, 2_000 * NANOS_PER_MS);
-    assert_eq!(done(&all, 4).map(|d| d.1), Some(Ok(Placement::BeganLoad)));
+    let events = run_until(&mut worker, 2_000 * NANOS_PER_MS);
+    assert_eq!(
+        outcome_of(&events, 4).map(|d| d.1),
+        Some(Ok(Placement::BeganLoad))
+    );
     assert!(worker.used_memory_mb() <= 8_000.0);
 }
 
 #[test]
 fn failed_load_fails_the_waiting_requests() {
-    let mut worker = WorkerCore::new(warm(), true, 0);
+    let mut worker = WorkerCore::new(warm_settings(), true, 0);
     worker.receive(0, request(1, "f"));
     worker.load(0, 9, "f", 1);
     assert_eq!(worker.take_events(), [WorkerEvent::Fetch("f".into())]);
     worker.fetched(NANOS_PER_MS, "f", false);
-    let all = worker.take_events();
+    let events = worker.take_events();
     assert!(
-        all.contains(&WorkerEvent::Finished {
+        events.contains(&WorkerEvent::Finished {
             id: 1,
             result: Err(Rejection::LoadFailed),
             concurrency: 0
         }),
-        "{all:?}"
+        "{events:?}"
     );
-    assert!(all.contains(&WorkerEvent::CommandFinished {
+    assert!(events.contains(&WorkerEvent::CommandFinished {
         id: 9,
         replicas: 0,
         result: Err(Rejection::LoadFailed)
@@ -112,18 +121,18 @@
 
 #[test]
 fn duplicates_of_a_key_are_dropped_within_the_deduplication_window() {
-    let mut worker = WorkerCore::new(warm(), false, 0);
+    let mut worker = WorkerCore::new(warm_settings(), false, 0);
     let keyed = |id| InferenceRequest {
         key: Some("k".into()),
         ..request(id, "f")
     };
     worker.receive(0, keyed(1));
-    run(&mut worker, 1_000 * NANOS_PER_MS);
+    run_until(&mut worker, 1_000 * NANOS_PER_MS);
     worker.receive(1_000 * NANOS_PER_MS, keyed(2));
     assert!(
-        run(&mut worker, 2_000 * NANOS_PER_MS)
+        run_until(&mut worker, 2_000 * NANOS_PER_MS)
             .iter()
-            .any(|(_, h)| *h
+            .any(|(_, event)| *event
                 == WorkerEvent::Running {
                     id: 2,
                     dropped: true
@@ -131,9 +140,9 @@
     );
     worker.receive(9_000 * NANOS_PER_MS, keyed(3));
     assert!(
-        run(&mut worker, 10_000 * NANOS_PER_MS)
+        run_until(&mut worker, 10_000 * NANOS_PER_MS)
             .iter()
-            .any(|(_, h)| *h
+            .any(|(_, event)| *event
                 == WorkerEvent::Running {
                     id: 3,
                     dropped: false
@@ -155,18 +164,18 @@
         !worker
             .take_events()
             .iter()
-            .any(|h| matches!(h, WorkerEvent::Overloaded { .. }))
+            .any(|event| matches!(event, WorkerEvent::Overloaded { .. }))
     );
     (40..50).for_each(|n| worker.receive(n * NANOS_PER_MS, request(n, "f")));
     assert!(
         worker
             .take_events()
             .iter()
-            .any(|h| matches!(h, WorkerEvent::Overloaded { .. }))
+            .any(|event| matches!(event, WorkerEvent::Overloaded { .. }))
     );
     let mut worker = WorkerCore::new(cold, false, 0);
     worker.receive(0, request(1, "f"));
-    let at = done(&run(&mut worker, 5_000 * NANOS_PER_MS), 1)
+    let at = outcome_of(&run_until(&mut worker, 5_000 * NANOS_PER_MS), 1)
         .expect("served")
         .0;
     assert!(at > 600 * NANOS_PER_MS, "{at}");
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -208,7 +208,7 @@
     /// Gives back the key of a request that did not run.
     async fn release(&self, key: Option<&str>) {
         if let (Some(store), Some(key)) = (&self.shared.store, key) {
-            crate::store::give_back(store, key).await;
+            crate::store::release(store, key).await;
         }
     }
 
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -111,7 +111,7 @@
             cold_from: settings.initial_weight,
             ramp_ms: settings.slow_start_window / NANOS_PER_MS,
         };
-        recorder.note(&address.to_string(), up);
+        recorder.record(&address.to_string(), up);
         let deduplication_window = Duration::from_nanos(settings.deduplication_window);
         let state = State {
             core: WorkerCore::new(settings, store.is_some(), clock.now()),
@@ -178,7 +178,7 @@
     }
 
     pub(super) fn record(&self, seen: Seen) {
-        self.recorder.note(&self.address, seen);
+        self.recorder.record(&self.address, seen);
     }
 
     /// Runs an action on the core, then handles the events that it caused.
--- a/crates/pipithub-emulator/src/worker/settings.rs
+++ b/crates/pipithub-emulator/src/worker/settings.rs
@@ -24,7 +24,7 @@
     /// Time of a load after the fetch from the store; the whole time if there is no store.
     pub load: Time,
     /// How many loads run concurrently.
-    pub loads_at_once: usize,
+    pub max_concurrent_loads: usize,
     /// Time after which an idle replica is unloaded.
     pub keep_alive: Time,
     /// How many requests may wait; further ones are rejected.
@@ -52,7 +52,7 @@
             replica_concurrency: 4,
             run: 60 * NANOS_PER_MS,
             load: 500 * NANOS_PER_MS,
-            loads_at_once: 4,
+            max_concurrent_loads: 4,
             keep_alive: 10_000 * NANOS_PER_MS,
             queue: 64,
             deduplication_window: 5_000 * NANOS_PER_MS,
@@ -71,14 +71,14 @@
     }
 
     /// The part of its capacity that a worker of this age has, from 0 to 1.
-    pub(super) fn warmth(&self, age: Time) -> f64 {
+    pub(super) fn weight_at_age(&self, age: Time) -> f64 {
         let progress = age as f64 / self.slow_start_window.max(1) as f64;
         self.initial_weight + (1.0 - self.initial_weight) * progress.min(1.0)
     }
 
     /// The number of requests within the overload window beyond which the worker fails, at this part of its capacity.
-    pub(super) fn overload_bound(&self, warmth: f64) -> f64 {
-        self.overload_factor * self.capacity() * warmth * self.overload_window as f64
+    pub(super) fn overload_bound(&self, weight: f64) -> f64 {
+        self.overload_factor * self.capacity() * weight * self.overload_window as f64
             / NANOS_PER_SECOND
     }
 }
--- a/crates/pipithub-emulator/tests/accept.rs
+++ b/crates/pipithub-emulator/tests/accept.rs
@@ -30,7 +30,7 @@
     }
 
     /// Accepts once; returns the connection, if any, and the time that it took.
-    async fn play(&mut self) -> (Option<&'static str>, Duration) {
+    async fn accept_next(&mut self) -> (Option<&'static str>, Duration) {
         let began = Instant::now();
         let accepted = next_connection(|| std::future::ready(self.accept())).await;
         (accepted, began.elapsed())
@@ -40,7 +40,10 @@
 #[tokio::test(start_paused = true)]
 async fn lost_connections_are_skipped_without_delay() {
     let mut script = Script::of([Errno::CONNABORTED, Errno::PROTO, Errno::INTR].repeat(100));
-    assert_eq!(script.play().await, (Some("connection"), Duration::ZERO));
+    assert_eq!(
+        script.accept_next().await,
+        (Some("connection"), Duration::ZERO)
+    );
     assert_eq!(script.calls, 301);
 }
 
@@ -48,7 +51,7 @@
 async fn accept_is_retried_with_a_delay_while_descriptors_or_memory_are_exhausted() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         let mut script = Script::of([errno; 50]);
-        let (accepted, waited) = script.play().await;
+        let (accepted, waited) = script.accept_next().await;
         assert_eq!(
             (accepted, script.calls),
             (Some("connection"), 51),
@@ -65,6 +68,6 @@
 #[tokio::test(start_paused = true)]
 async fn unusable_listener_ends_at_once() {
     let mut script = Script::of([Errno::BADF; 50]);
-    assert_eq!(script.play().await, (None, Duration::ZERO));
+    assert_eq!(script.accept_next().await, (None, Duration::ZERO));
     assert_eq!(script.calls, 1);
 }
--- a/crates/pipithub-emulator/tests/lapin.rs
+++ b/crates/pipithub-emulator/tests/lapin.rs
@@ -9,7 +9,7 @@
 use lapin::{BasicProperties, Channel, Connection, ConnectionProperties, Consumer};
 use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
 
-async fn broker() -> BrokerServer {
+async fn start_broker() -> BrokerServer {
     BrokerServer::start(
         SocketAddr::from(([127, 0, 0, 1], 0)),
         BrokerSettings::default(),
@@ -71,7 +71,7 @@
         .expect("consuming")
 }
 
-fn code(error: lapin::Error) -> u16 {
+fn reply_code(error: lapin::Error) -> u16 {
     match error.kind() {
         lapin::ErrorKind::ProtocolError(error) => error.get_id(),
         other => panic!("{other:?}"),
@@ -87,7 +87,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn each_publish_is_confirmed() {
-    let broker = broker().await;
+    let broker = start_broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "q", &[]).await;
     channel
@@ -105,7 +105,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn transaction_takes_effect_completely_or_not_at_all() {
-    let broker = broker().await;
+    let broker = start_broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "calls", &[]).await;
     declare(&channel, "answers", &[]).await;
@@ -147,7 +147,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn prefetch_limits_deliveries_and_unacked_messages_are_redelivered() {
-    let broker = broker().await;
+    let broker = start_broker().await;
     let (connection, channel) = connect(&broker).await;
     declare(&channel, "q", &[]).await;
     for n in 0..10u8 {
@@ -182,7 +182,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn expired_and_rejected_messages_are_dead_lettered() {
-    let broker = broker().await;
+    let broker = start_broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "dead", &[]).await;
     let text = |t: &str| AMQPValue::LongString(t.into());
@@ -261,7 +261,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn topic_exchange_routes_and_invalid_declarations_fail_with_their_codes() {
-    let broker = broker().await;
+    let broker = start_broker().await;
     let (connection, channel) = connect(&broker).await;
     declare(&channel, "a", &[]).await;
     bind_topic(&channel, "x", "a", "k.*").await;
@@ -286,7 +286,7 @@
         .expect("the queue exists");
     assert_eq!(broker.depth("a"), Some((1, 0)));
     let missing = try_declare(&channel, "nope", passive()).await;
-    assert_eq!(code(missing.expect_err("no such queue")), 404);
+    assert_eq!(reply_code(missing.expect_err("no such queue")), 404);
     let channel = connection.create_channel().await.expect("another channel");
     let durable = QueueDeclareOptions {
         durable: true,
@@ -294,7 +294,7 @@
     };
     let different = try_declare(&channel, "a", durable).await;
     assert_eq!(
-        code(different.expect_err("the queue has other properties")),
+        reply_code(different.expect_err("the queue has other properties")),
         406
     );
 }
--- a/crates/pipithub-emulator/tests/relay.rs
+++ b/crates/pipithub-emulator/tests/relay.rs
@@ -4,7 +4,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-async fn pair() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
+async fn relay_with_sockets() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
     let (sender, seen) = mpsc::unbounded_channel();
     let relay = Relay::start(1, move |b| {
         assert!(sender.send(b.len()).is_ok() || b.is_empty());
@@ -19,7 +19,7 @@
 
 #[tokio::test]
 async fn paused_datagrams_arrive_after_the_pause_and_cut_ones_are_lost() {
-    let (relay, from, to, mut seen) = pair().await;
+    let (relay, from, to, mut seen) = relay_with_sockets().await;
     relay.change(|link| link.cut = true);
     from.send_to(b"cut", relay.address()).await.unwrap();
     assert_eq!(seen.recv().await, Some(3));
@@ -34,7 +34,7 @@
 
 #[tokio::test]
 async fn datagrams_are_lost_or_duplicated_with_certainty_at_probability_one() {
-    let (relay, from, to, mut seen) = pair().await;
+    let (relay, from, to, mut seen) = relay_with_sockets().await;
     relay.change(|link| link.loss = 1.0);
     from.send_to(b"lost", relay.address()).await.unwrap();
     seen.recv().await;
--- a/crates/pipithub-gateway/tests/cached_endpoint_list.rs
+++ b/crates/pipithub-gateway/tests/cached_endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pipithub_emulator::list::{ListServer, Listed};
+use pipithub_emulator::list::{ListServer, ListedWorker};
 use pipithub_emulator::recorder::Recorder;
 use pipithub_gateway::Gateway;
 use pipithub_settings::Config;
@@ -19,8 +19,8 @@
     }
 }
 
-fn worker() -> Listed {
-    Listed {
+fn worker() -> ListedWorker {
+    ListedWorker {
         ip: "127.0.0.1".into(),
         port: 1,
         uid: "the-worker".into(),
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -7,8 +7,8 @@
 use pipithub_amqp::{FieldTable, Login};
 use pipithub_conformance::record::Seen;
 use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
-use pipithub_emulator::list::{ListServer, Listed};
-use pipithub_emulator::proxy::{Damage, Proxy};
+use pipithub_emulator::list::{ListServer, ListedWorker};
+use pipithub_emulator::proxy::{Proxy, ProxyFault};
 use pipithub_emulator::recorder::Recorder;
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use pipithub_gateway::Gateway;
@@ -84,8 +84,8 @@
     }
 }
 
-fn listed(worker: &WorkerServer, uid: &str) -> Listed {
-    Listed {
+fn listed(worker: &WorkerServer, uid: &str) -> ListedWorker {
+    ListedWorker {
         ip: "127.0.0.1".into(),
         port: worker.address().port(),
         uid: uid.into(),
@@ -302,17 +302,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn damaged_broker_connection_loses_no_call() {
     for damage in [
-        Damage::Corrupt,
-        Damage::Swallow,
-        Damage::HalfClose,
-        Damage::Delay(Duration::from_millis(30)),
+        ProxyFault::Corrupt,
+        ProxyFault::DropData,
+        ProxyFault::HalfClose,
+        ProxyFault::Delay(Duration::from_millis(30)),
     ] {
         lose_no_call_with(damage).await;
     }
 }
 
 /// Sends calls while a proxy damages the gateway's connection to the broker, and expects that each is answered once.
-async fn lose_no_call_with(damage: Damage) {
+async fn lose_no_call_with(damage: ProxyFault) {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
     let proxy = Proxy::start(loopback(), broker.address().to_string())
         .await
@@ -321,7 +321,7 @@
     let mut client = client(broker.address());
     send(&client, call("before", "view", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
-    proxy.set(damage);
+    proxy.set_fault(damage);
     for number in 0..20 {
         send(&client, call(&format!("{number}"), "view", b"x".to_vec())).await;
     }
@@ -329,19 +329,19 @@
     // damage has met the end of the first call's transaction, the connection is lost before a second delivery, and each
     // further connection meets the damage too.
     wait_until("the damage was met", || {
-        delivered_calls(&broker) >= 2 || proxy.met() >= 3
+        delivered_calls(&broker) >= 2 || proxy.affected_chunks() >= 3
     })
     .await;
     // Swallowed bytes never arrive on the same connection, so it ends with the damage.
-    proxy.set(Damage::None);
-    if !matches!(damage, Damage::Delay(_)) {
+    proxy.set_fault(ProxyFault::None);
+    if !matches!(damage, ProxyFault::Delay(_)) {
         proxy.cut();
     }
     wait_until("all calls are settled", || {
         broker.depth("calls") == Some((0, 0))
     })
     .await;
-    if damage == Damage::Corrupt {
+    if damage == ProxyFault::Corrupt {
         // AMQP has no checksums, so that a flipped bit in a body or an id is not noticed. Only the connection is checked.
         send(&client, call("after", "view", b"x".to_vec())).await;
         wait_until("calls are answered again", || {
@@ -376,7 +376,9 @@
     let mut client = client(broker.address());
     send(&client, call("before", "view", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
-    proxies.iter().for_each(|proxy| proxy.set(Damage::Swallow));
+    proxies
+        .iter()
+        .for_each(|proxy| proxy.set_fault(ProxyFault::DropData));
     let mut lost = call("lost", "assign", b"x".to_vec());
     lost.budget_ms = Some(1_500);
     send(&client, lost).await;
--- a/crates/pipithub-hollow-node/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -79,7 +79,7 @@
                 let front_end = harness::start_hollow(&coordinator);
                 let mut tier = Tier::new(workers, 7);
                 harness::publish_all(&coordinator, &front_end, &tier).await;
-                coordinator.behave(|b| b.cut = true);
+                coordinator.change_behaviour(|b| b.cut = true);
                 harness::wait_until(|| coordinator.counts().open == 0).await;
                 let start = coordinator.counts();
                 let mut index = 0;
@@ -87,7 +87,7 @@
                     let changed = tier.replace(at);
                     index = coordinator.publish(false, &changed, &tier);
                 }
-                coordinator.behave(|b| b.cut = false);
+                coordinator.change_behaviour(|b| b.cut = false);
                 harness::wait_until(|| front_end.last() == index).await;
                 let end = coordinator.counts();
                 (end.sent_bytes - 3 * end.comments) - (start.sent_bytes - 3 * start.comments)
@@ -175,7 +175,7 @@
                     (1, before)
                 );
                 let changed = tier.replace(0);
-                coordinator.forget();
+                coordinator.clear_history();
                 let index = coordinator.publish(false, &changed, &tier);
                 harness::wait_until(|| front_end.last() == index).await;
                 harness::wait_until(|| front_end.show().matches("worker-").count() == before).await;
--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -65,7 +65,7 @@
         coordinator.publish(false, &changed, tier);
         caught_up(tier).await;
     }
-    let lost = tier.lose(3);
+    let lost = tier.remove_zone(3);
     coordinator.publish(false, &lost, tier);
     caught_up(tier).await;
     cut(coordinator).await;
@@ -75,19 +75,19 @@
     }
     // In the middle of the third event that was missed.
     coordinator.break_off(1_200);
-    coordinator.behave(|b| b.cut = false);
+    coordinator.change_behaviour(|b| b.cut = false);
     caught_up(tier).await;
     cut(coordinator).await;
-    coordinator.forget();
+    coordinator.clear_history();
     tier.replace(9);
     tier.replace(10);
     coordinator.publish(true, tier.hosts(), tier);
-    coordinator.behave(|b| b.cut = false);
+    coordinator.change_behaviour(|b| b.cut = false);
     caught_up(tier).await;
 }
 
 async fn cut(coordinator: &Coordinator) {
-    coordinator.behave(|b| b.cut = true);
+    coordinator.change_behaviour(|b| b.cut = true);
     harness::wait_until(|| coordinator.counts().open == 0).await;
 }
 
--- a/crates/pipithub-scenario/src/run/cluster.rs
+++ b/crates/pipithub-scenario/src/run/cluster.rs
@@ -6,7 +6,7 @@
 
 use pipithub_amqp::Login;
 use pipithub_clock::{Clock, wall_ms};
-use pipithub_emulator::list::{ListServer, Listed};
+use pipithub_emulator::list::{ListServer, ListedWorker};
 use pipithub_emulator::recorder::Recorder;
 use pipithub_emulator::store::{StoreServer, StoreSettings};
 use pipithub_settings::Config;
@@ -36,9 +36,9 @@
 struct WorkerSlot {
     process: Option<Process>,
     /// How the endpoint list shows the running process.
-    listed: Option<Listed>,
+    listed: Option<ListedWorker>,
     /// Processes that were killed and are still in the endpoint list.
-    killed: Vec<Listed>,
+    killed: Vec<ListedWorker>,
 }
 
 /// How a worker starts.
@@ -175,7 +175,7 @@
             .address
             .rsplit_once(':')
             .unwrap_or(("127.0.0.1", "0"));
-        let listed = Listed {
+        let listed = ListedWorker {
             ip: ip.to_string(),
             port: port.parse().unwrap_or(0),
             uid: format!("worker-{worker}-{}", self.workers_started),
@@ -247,8 +247,8 @@
                 }
             }
             Action::DelayEndpointList { by } => self.list.set_delay(Duration::from_nanos(by)),
-            Action::SlowStore { factor } => self.store.control().slow(factor),
-            Action::SetStoreRejecting(rejecting) => self.store.control().halt(rejecting),
+            Action::SlowStore { factor } => self.store.control().set_slowness(factor),
+            Action::SetStoreRejecting(rejecting) => self.store.control().set_halted(rejecting),
             Action::KillFrontEnd(front_end) => {
                 if let Some(process) = self.front_ends[front_end].take() {
                     process.kill().await;
@@ -286,7 +286,7 @@
 
     fn remove_worker(&mut self, worker: usize) {
         for listed in std::mem::take(&mut self.workers[worker].killed) {
-            self.list.set(Listed {
+            self.list.set(ListedWorker {
                 state: "gone".into(),
                 ..listed
             });
@@ -295,7 +295,7 @@
 
     fn drain_worker(&self, worker: usize) {
         if let Some(listed) = &self.workers[worker].listed {
-            self.list.set(Listed {
+            self.list.set(ListedWorker {
                 state: "draining".into(),
                 ..listed.clone()
             });
--- a/crates/pipithub-scenario/src/run/directories.rs
+++ b/crates/pipithub-scenario/src/run/directories.rs
@@ -93,7 +93,7 @@
         user: format!("u{user}"),
         tenant: TENANTS[tenant].to_string(),
     };
-    recorder.note(OBSERVER, membership);
+    recorder.record(OBSERVER, membership);
 }
 
 /// The entries of the tenants and their users, as LDIF.
--- a/crates/pipithub/src/emulator.rs
+++ b/crates/pipithub/src/emulator.rs
@@ -14,7 +14,7 @@
 use pipithub_emulator::credentials::Credentials;
 use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
 use pipithub_emulator::list::ListServer;
-use pipithub_emulator::proxy::{Damage, Proxy};
+use pipithub_emulator::proxy::{Proxy, ProxyFault};
 use pipithub_emulator::store::{StoreServer, StoreSettings};
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -120,8 +120,8 @@
     common.check()?;
     let settings = StoreSettings {
         fetch: Duration::from_millis(arguments.fetch_ms),
-        at_once: arguments.at_once,
-        limit: arguments.limit,
+        full_speed_fetches: arguments.at_once,
+        max_fetches: arguments.limit,
     };
     let store = StoreServer::start(common.listen, settings)
         .await
@@ -174,15 +174,15 @@
         .into_diagnostic()?;
     print_address(proxy.address());
     let execute = |line: &str| match line.split_once(' ').unwrap_or((line, "")) {
-        ("pass", _) => proxy.set(Damage::None),
+        ("pass", _) => proxy.set_fault(ProxyFault::None),
         ("delay", milliseconds) => {
             let milliseconds = milliseconds.parse().unwrap_or(DEFAULT_PROXY_DELAY_MS);
-            proxy.set(Damage::Delay(Duration::from_millis(milliseconds)));
+            proxy.set_fault(ProxyFault::Delay(Duration::from_millis(milliseconds)));
         }
         ("cut", _) => proxy.cut(),
-        ("half-close", _) => proxy.set(Damage::HalfClose),
-        ("swallow", _) => proxy.set(Damage::Swallow),
-        ("corrupt", _) => proxy.set(Damage::Corrupt),
+        ("half-close", _) => proxy.set_fault(ProxyFault::HalfClose),
+        ("swallow", _) => proxy.set_fault(ProxyFault::DropData),
+        ("corrupt", _) => proxy.set_fault(ProxyFault::Corrupt),
         _ => tracing::warn!(target: LOG_TARGET, line, "unknown command"),
     };
     until_shutdown(execute_commands(common.commands, execute)).await
