--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -82,7 +82,7 @@
         coordinator.publish(false, &changed, tier);
         wait_until_caught_up(tier).await;
     }
-    let lost = tier.lose(3);
+    let lost = tier.remove_zone(3);
     coordinator.publish(false, &lost, tier);
     wait_until_caught_up(tier).await;
     cut_streams(coordinator).await;
@@ -92,20 +92,20 @@
     }
     // Breaks the stream off in the middle of the third missed event.
     coordinator.break_off(1_200);
-    coordinator.behave(|b| b.cut = false);
+    coordinator.change_behaviour(|b| b.cut = false);
     wait_until_caught_up(tier).await;
     cut_streams(coordinator).await;
-    coordinator.forget();
+    coordinator.clear_history();
     tier.replace(9);
     tier.replace(10);
     coordinator.publish(true, tier.hosts(), tier);
-    coordinator.behave(|b| b.cut = false);
+    coordinator.change_behaviour(|b| b.cut = false);
     wait_until_caught_up(tier).await;
 }
 
 /// Makes the coordinator end all streams and reject connections, and waits until no stream is open.
 async fn cut_streams(coordinator: &Coordinator) {
-    coordinator.behave(|b| b.cut = true);
+    coordinator.change_behaviour(|b| b.cut = true);
     harness::wait_until(|| coordinator.counts().open == 0).await;
 }
 
