--- a/crates/pipithub-conformance/src/record.rs
+++ b/crates/pipithub-conformance/src/record.rs
@@ -83,7 +83,8 @@
         ramp_ms: u64,
     },
     /// A worker failed because it was overloaded while it warmed up.
-    FellOver {
+    #[serde(rename = "fell-over")]
+    Overloaded {
         /// Requests sent to it within its overload window.
         sent: f64,
         /// Requests that it could have served within that window.
@@ -125,21 +126,25 @@
         not_run: bool,
     },
     /// A load or evict command reached a worker.
-    Order {
+    #[serde(rename = "order")]
+    LoadCommand {
         /// The front end that sent the command.
         front_end: String,
         /// The function to load or evict.
         function: String,
         /// The number of replicas to load; 0 for a command to evict idle replicas.
-        copies: u32,
+        #[serde(rename = "copies")]
+        replicas: u32,
     },
     /// A poll of the load reached a worker.
-    Probe {
+    #[serde(rename = "probe")]
+    LoadPoll {
         /// The front end that polled.
         front_end: String,
     },
     /// The endpoint list notified a client of the state of a worker.
-    Told {
+    #[serde(rename = "told")]
+    EndpointNotified {
         /// The front end that was notified.
         front_end: String,
         /// The address of the worker.
@@ -150,7 +155,8 @@
         started_ms: Option<u64>,
     },
     /// From now on a user belongs to this tenant, according to the most current server of the directory.
-    Moved {
+    #[serde(rename = "moved")]
+    UserMigrated {
         /// The user's name.
         user: String,
         /// The new tenant of the user.
--- a/crates/pipithub-conformance/src/rules/drains.rs
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -7,7 +7,7 @@
 
 /// A front end and a worker of which it was notified.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Notified<'a> {
+struct FrontEndAndWorker<'a> {
     front_end: &'a str,
     worker: &'a str,
 }
@@ -17,14 +17,14 @@
     let mut by_time: Vec<&Record> = records.iter().collect();
     by_time.sort_by_key(|record| record.time_ns);
     // Since when each front end has known that a worker takes nothing new.
-    let mut closed_since: BTreeMap<Notified<'_>, u64> = BTreeMap::new();
+    let mut closed_since: BTreeMap<FrontEndAndWorker<'_>, u64> = BTreeMap::new();
     for record in by_time {
         note_endpoint_state(&mut closed_since, record);
         let Some(NewWork { front_end, work }) = new_work(&record.seen) else {
             continue;
         };
         let worker = record.observer.as_str();
-        let Some(since) = closed_since.get(&Notified { front_end, worker }) else {
+        let Some(since) = closed_since.get(&FrontEndAndWorker { front_end, worker }) else {
             continue;
         };
         if record.time_ns > since + config.drain_grace + config.slack {
@@ -41,8 +41,11 @@
 }
 
 /// Follows the endpoint states that front ends are notified of.
-fn note_endpoint_state<'a>(closed_since: &mut BTreeMap<Notified<'a>, u64>, record: &'a Record) {
-    let Seen::Told {
+fn note_endpoint_state<'a>(
+    closed_since: &mut BTreeMap<FrontEndAndWorker<'a>, u64>,
+    record: &'a Record,
+) {
+    let Seen::EndpointNotified {
         front_end,
         worker,
         state,
@@ -51,7 +54,7 @@
     else {
         return;
     };
-    let key = Notified { front_end, worker };
+    let key = FrontEndAndWorker { front_end, worker };
     if state == "live" {
         closed_since.remove(&key);
     } else {
@@ -76,11 +79,11 @@
             front_end,
             work: format!("call {request}"),
         }),
-        Seen::Order {
+        Seen::LoadCommand {
             front_end,
             function,
-            copies,
-        } if *copies > 0 => Some(NewWork {
+            replicas,
+        } if *replicas > 0 => Some(NewWork {
             front_end,
             work: format!("a command to load {function}"),
         }),
--- a/crates/pipithub-conformance/src/rules/load_rate.rs
+++ b/crates/pipithub-conformance/src/rules/load_rate.rs
@@ -49,10 +49,12 @@
 fn load_commands(records: &[Record]) -> TimesByFrontEnd<'_> {
     let mut commands = TimesByFrontEnd::new();
     for record in records {
-        if let Seen::Order {
-            front_end, copies, ..
+        if let Seen::LoadCommand {
+            front_end,
+            replicas,
+            ..
         } = &record.seen
-            && *copies > 0
+            && *replicas > 0
         {
             commands.entry(front_end).or_default().push(record.time_ns);
         }
--- a/crates/pipithub-conformance/src/rules/slow_start.rs
+++ b/crates/pipithub-conformance/src/rules/slow_start.rs
@@ -6,7 +6,7 @@
 /// Reports each worker that was overloaded while it warmed up.
 pub(super) fn check(records: &[Record], breaches: &mut Vec<Breach>) {
     for record in records {
-        if let Seen::FellOver { sent, bound } = &record.seen {
+        if let Seen::Overloaded { sent, bound } = &record.seen {
             let worker = &record.observer;
             breaches.push(Breach {
                 rule: Rule::SlowStartRespected,
--- a/crates/pipithub-conformance/src/rules/tenants.rs
+++ b/crates/pipithub-conformance/src/rules/tenants.rs
@@ -49,7 +49,7 @@
 fn memberships(records: &[Record]) -> BTreeMap<&str, Vec<Membership<'_>>> {
     let mut memberships: BTreeMap<&str, Vec<Membership<'_>>> = BTreeMap::new();
     for record in records {
-        if let Seen::Moved { user, tenant } = &record.seen {
+        if let Seen::UserMigrated { user, tenant } = &record.seen {
             let since = record.time_ns;
             let of_user = memberships.entry(user).or_default();
             of_user.push(Membership { since, tenant });
--- a/crates/pipithub-conformance/tests/fleet.rs
+++ b/crates/pipithub-conformance/tests/fleet.rs
@@ -37,7 +37,7 @@
     }
 }
 
-fn used(run: usize, generation: u64, first_seen: Time) -> GenerationUse {
+fn generation_use(run: usize, generation: u64, first_seen: Time) -> GenerationUse {
     GenerationUse {
         run,
         generation,
@@ -54,7 +54,11 @@
 fn compliant() -> History {
     let mut history = History {
         runs: vec![run("a", 0, None), run("b", 0, None), run("c", 0, Some(20))],
-        generations_used: vec![used(0, 1, 0), used(1, 1, 0), used(2, 1, 0)],
+        generations_used: vec![
+            generation_use(0, 1, 0),
+            generation_use(1, 1, 0),
+            generation_use(2, 1, 0),
+        ],
         end: 40 * SECOND,
         ..History::default()
     };
@@ -70,7 +74,7 @@
     history
 }
 
-fn broken(history: &History) -> Vec<Rule> {
+fn broken_rules(history: &History) -> Vec<Rule> {
     let mut rules: Vec<Rule> = check(history, BOUNDS).into_iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
@@ -85,33 +89,35 @@
 fn a_generation_used_twice_is_found() {
     let mut history = compliant();
     history.runs.push(run("c", 22, Some(23)));
-    history.generations_used.push(used(3, 1, 22 * SECOND));
-    assert!(broken(&history).contains(&Rule::UniqueGeneration));
+    history
+        .generations_used
+        .push(generation_use(3, 1, 22 * SECOND));
+    assert!(broken_rules(&history).contains(&Rule::UniqueGeneration));
 }
 
 #[test]
 fn an_undetected_failure_is_found() {
     let mut history = compliant();
     history.claims[4].others.insert("c".into(), Belief::Alive);
-    assert_eq!(broken(&history), vec![Rule::FailureDetected]);
+    assert_eq!(broken_rules(&history), vec![Rule::FailureDetected]);
 }
 
 #[test]
 fn a_false_positive_is_found_but_not_while_links_are_disturbed() {
     let mut history = compliant();
     history.claims[2].others.insert("b".into(), Belief::Dead);
-    assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
+    assert_eq!(broken_rules(&history), vec![Rule::NoFalsePositive]);
     history.disturbances.push(disturbed(16, 17));
-    assert_eq!(broken(&history), vec![]);
+    assert_eq!(broken_rules(&history), vec![]);
     history.disturbances = vec![disturbed(11, 12)];
-    assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
+    assert_eq!(broken_rules(&history), vec![Rule::NoFalsePositive]);
 }
 
 #[test]
 fn an_unknown_member_is_found() {
     let mut history = compliant();
     history.claims[0].others.remove("b");
-    assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
+    assert_eq!(broken_rules(&history), vec![Rule::NoFalsePositive]);
 }
 
 #[test]
@@ -121,7 +127,9 @@
         disk: Disk::Stale,
         ..run("c", 31, None)
     });
-    history.generations_used.push(used(3, 2, 32 * SECOND));
+    history
+        .generations_used
+        .push(generation_use(3, 2, 32 * SECOND));
     history.claims.truncate(6);
     let mut back = claim(3, 40, &[("a", Belief::Alive), ("b", Belief::Alive)]);
     (back.generation, back.disk) = (2, "kept".into());
@@ -130,27 +138,29 @@
         claim(1, 40, &[("a", Belief::Alive), ("c", Belief::Alive)]),
     ]);
     history.claims.push(back);
-    assert_eq!(broken(&history), vec![Rule::StaleDiskReported]);
+    assert_eq!(broken_rules(&history), vec![Rule::StaleDiskReported]);
     history.claims.last_mut().unwrap().disk = "old".into();
-    assert_eq!(broken(&history), vec![]);
+    assert_eq!(broken_rules(&history), vec![]);
     history.claims.last_mut().unwrap().generation = 1;
-    assert_eq!(broken(&history), vec![Rule::StaleDiskReported]);
+    assert_eq!(broken_rules(&history), vec![Rule::StaleDiskReported]);
 }
 
 #[test]
 fn two_runs_of_one_name_that_both_take_part_are_found() {
     let mut history = compliant();
     history.runs.push(run("a", 12, None));
-    history.generations_used.push(used(3, 2, 12 * SECOND));
+    history
+        .generations_used
+        .push(generation_use(3, 2, 12 * SECOND));
     history
         .claims
         .push(claim(3, 40, &[("b", Belief::Alive), ("c", Belief::Dead)]));
-    assert_eq!(broken(&history), vec![Rule::SingleRunPerName]);
+    assert_eq!(broken_rules(&history), vec![Rule::SingleRunPerName]);
 }
 
 #[test]
 fn a_fleet_that_does_not_converge_is_found() {
     let mut history = compliant();
     history.claims.last_mut().unwrap().joined = false;
-    assert_eq!(broken(&history), vec![Rule::Convergence]);
+    assert_eq!(broken_rules(&history), vec![Rule::Convergence]);
 }
--- a/crates/pipithub-conformance/tests/rules.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -39,16 +39,16 @@
     }
 }
 
-fn at(ms: u64, place: &str, seen: Seen) -> Record {
+fn record(ms: u64, observer: &str, seen: Seen) -> Record {
     Record {
         time_ns: (1_000_000 + ms) * MS,
-        observer: place.into(),
+        observer: observer.into(),
         seen,
     }
 }
 
 fn published(ms: u64, id: &str, class: &str) -> Record {
-    at(
+    record(
         ms,
         "broker",
         Seen::Published {
@@ -66,7 +66,7 @@
 }
 
 fn answered(ms: u64, id: &str, verdict: &str) -> Record {
-    at(
+    record(
         ms,
         "broker",
         Seen::Published {
@@ -84,7 +84,7 @@
 }
 
 fn delivered(ms: u64, id: &str, redelivered: bool) -> Record {
-    at(
+    record(
         ms,
         "broker",
         Seen::Delivered {
@@ -98,7 +98,7 @@
 }
 
 fn call(ms: u64, id: &str, worker: &str, attempt: u32) -> Record {
-    at(
+    record(
         ms,
         worker,
         Seen::Call {
@@ -112,7 +112,7 @@
 }
 
 fn ran(ms: u64, id: &str, worker: &str) -> Record {
-    at(
+    record(
         ms,
         worker,
         Seen::Ran {
@@ -125,7 +125,7 @@
 
 fn replied(ms: u64, id: &str, worker: &str, attempt: u32, not_run: bool) -> Record {
     let status = if not_run { 429 } else { 200 };
-    at(
+    record(
         ms,
         worker,
         Seen::Replied {
@@ -139,23 +139,23 @@
 }
 
 fn load_command(ms: u64, worker: &str) -> Record {
-    at(
+    record(
         ms,
         worker,
-        Seen::Order {
+        Seen::LoadCommand {
             front_end: "fe".into(),
             function: "f".into(),
-            copies: 1,
+            replicas: 1,
         },
     )
 }
 
 fn notified(ms: u64, worker: &str, state: &str) -> Record {
     let (front_end, worker, state) = ("fe".into(), worker.into(), state.into());
-    at(
+    record(
         ms,
         "list",
-        Seen::Told {
+        Seen::EndpointNotified {
             front_end,
             worker,
             state,
@@ -180,7 +180,7 @@
     ]
 }
 
-fn broken(records: Vec<Record>) -> Vec<Rule> {
+fn broken_rules(records: Vec<Record>) -> Vec<Rule> {
     let mut rules: Vec<Rule> = check(&records, &config())
         .into_iter()
         .map(|b| b.rule)
@@ -189,23 +189,23 @@
     rules
 }
 
-fn with(more: Vec<Record>) -> Vec<Record> {
+fn compliant_with(more: Vec<Record>) -> Vec<Record> {
     compliant().into_iter().chain(more).collect()
 }
 
 #[test]
 fn compliant_traffic_breaks_no_rule() {
-    assert_eq!(broken(compliant()), []);
+    assert_eq!(broken_rules(compliant()), []);
 }
 
 #[test]
 fn missing_duplicate_and_late_answers_are_found() {
     assert_eq!(
-        broken(with(vec![published(10, "b", "safe")])),
+        broken_rules(compliant_with(vec![published(10, "b", "safe")])),
         [Rule::OneFinalAnswer]
     );
     assert_eq!(
-        broken(with(vec![answered(200, "a", "failed")])),
+        broken_rules(compliant_with(vec![answered(200, "a", "failed")])),
         [Rule::OneFinalAnswer]
     );
     let late = |ms, again| {
@@ -216,16 +216,22 @@
             answered(ms, "b", "served"),
         ]
     };
-    assert_eq!(broken(with(late(2_055, false))), []);
-    assert_eq!(broken(with(late(2_100, false))), [Rule::OneFinalAnswer]);
+    assert_eq!(broken_rules(compliant_with(late(2_055, false))), []);
     assert_eq!(
-        broken(with(late(3_400, true))),
+        broken_rules(compliant_with(late(2_100, false))),
+        [Rule::OneFinalAnswer]
+    );
+    assert_eq!(
+        broken_rules(compliant_with(late(3_400, true))),
         [],
         "its first front end died"
     );
-    assert_eq!(broken(with(late(3_600, true))), [Rule::OneFinalAnswer]);
     assert_eq!(
-        broken(with(vec![call(200, "a", "w3", 2)])),
+        broken_rules(compliant_with(late(3_600, true))),
+        [Rule::OneFinalAnswer]
+    );
+    assert_eq!(
+        broken_rules(compliant_with(vec![call(200, "a", "w3", 2)])),
         [Rule::OneFinalAnswer, Rule::EffectAtMostOnce]
     );
 }
@@ -241,20 +247,20 @@
             answered(1_500, "b", "served"),
         ]
     };
-    assert_eq!(broken(two("safe", 200)), []);
-    assert_eq!(broken(two("keyed", 200)), []);
+    assert_eq!(broken_rules(two("safe", 200)), []);
+    assert_eq!(broken_rules(two("keyed", 200)), []);
     assert_eq!(
-        broken(two("keyed", 1_200)),
+        broken_rules(two("keyed", 1_200)),
         [Rule::EffectAtMostOnce],
         "forgotten by then"
     );
     assert_eq!(
-        broken(two("unsafe", 200)),
+        broken_rules(two("unsafe", 200)),
         [Rule::EffectAtMostOnce],
         "it may have run, whether it did or not"
     );
     assert_eq!(
-        broken(with(vec![ran(50, "a", "w3")])),
+        broken_rules(compliant_with(vec![ran(50, "a", "w3")])),
         [Rule::EffectAtMostOnce]
     );
     let refused = vec![
@@ -265,7 +271,7 @@
         answered(50, "b", "refused"),
     ];
     assert_eq!(
-        broken(refused),
+        broken_rules(refused),
         [Rule::EffectAtMostOnce],
         "a refusal of what ran is a lie"
     );
@@ -275,7 +281,7 @@
 fn work_for_draining_and_removed_workers_is_found() {
     let after = |ms, state| {
         let (came, over) = (delivered(551, "b", false), answered(900, "b", "served"));
-        with(vec![
+        compliant_with(vec![
             published(550, "b", "safe"),
             came,
             notified(700, "w1", state),
@@ -283,19 +289,19 @@
             over,
         ])
     };
-    assert_eq!(broken(after(600, "draining")), []);
-    assert_eq!(broken(after(800, "draining")), [Rule::DrainRespected]);
-    assert_eq!(broken(after(800, "gone")), [Rule::DrainRespected]);
-    assert_eq!(broken(after(800, "live")), [], "it came back");
+    assert_eq!(broken_rules(after(600, "draining")), []);
+    assert_eq!(broken_rules(after(800, "draining")), [Rule::DrainRespected]);
+    assert_eq!(broken_rules(after(800, "gone")), [Rule::DrainRespected]);
+    assert_eq!(broken_rules(after(800, "live")), [], "it came back");
 }
 
 #[test]
 fn a_worker_overloaded_during_slow_start_is_found() {
     assert_eq!(
-        broken(with(vec![at(
+        broken_rules(compliant_with(vec![record(
             5,
             "w1",
-            Seen::FellOver {
+            Seen::Overloaded {
                 sent: 9.0,
                 bound: 4.0
             }
@@ -308,12 +314,12 @@
 fn load_commands_beyond_the_rate_limit_are_found() {
     // One in any case and half of the one call taken: 1.5.
     assert_eq!(
-        broken(with(vec![load_command(6_000, "w2")])),
+        broken_rules(compliant_with(vec![load_command(6_000, "w2")])),
         [],
         "the window has passed"
     );
     assert_eq!(
-        broken(with(vec![load_command(2_000, "w2")])),
+        broken_rules(compliant_with(vec![load_command(2_000, "w2")])),
         [Rule::LoadRateLimited]
     );
 }
@@ -321,10 +327,10 @@
 #[test]
 fn requests_that_cross_tenants_are_found() {
     let moved = |ms: u64, tenant: &str| {
-        at(
+        record(
             ms,
             "scenario",
-            Seen::Moved {
+            Seen::UserMigrated {
                 user: "mai".into(),
                 tenant: tenant.into(),
             },
--- a/crates/pipithub-emulator/src/list.rs
+++ b/crates/pipithub-emulator/src/list.rs
@@ -87,7 +87,7 @@
 
     /// Records that a front end is notified of the state of a worker.
     fn record_sent(&self, front_end: &str, worker: &Listed) {
-        let seen = Seen::Told {
+        let seen = Seen::EndpointNotified {
             front_end: front_end.to_string(),
             worker: format!("{}:{}", worker.ip, worker.port),
             state: worker.state.clone(),
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -92,7 +92,7 @@
 
     fn health(&self) -> HttpResponse {
         let front_end = self.front_end();
-        self.shared.record(Seen::Probe { front_end });
+        self.shared.record(Seen::LoadPoll { front_end });
         self.empty_response(StatusCode::OK)
     }
 
@@ -107,10 +107,10 @@
         let Some(model) = unescape(escaped_model) else {
             return Ok(self.empty_response(StatusCode::BAD_REQUEST));
         };
-        self.shared.record(Seen::Order {
+        self.shared.record(Seen::LoadCommand {
             front_end: self.front_end(),
             function: model.clone(),
-            copies: replicas,
+            replicas,
         });
         let pending = self.shared.act(|state, now| {
             let pending = state.register();
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -226,7 +226,7 @@
                 tokio::spawn(fetch(self.clone(), model));
             }
             WorkerEvent::Overloaded { received, bound } => {
-                self.record(Seen::FellOver {
+                self.record(Seen::Overloaded {
                     sent: received,
                     bound,
                 });
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -58,7 +58,7 @@
     }
     cluster.wait_until_reachable().await?;
     let began = wall_ns();
-    cluster.play(schedule, began).await?;
+    cluster.run_schedule(schedule, began).await?;
     cluster.restore().await?;
     cluster.converge().await;
     let faults = cluster.injected_faults(began);
@@ -88,7 +88,7 @@
     }
 
     /// Carries out all actions, each at its time, until the scenario is over.
-    async fn play(&mut self, schedule: Schedule, began: u64) -> Result<(), RunError> {
+    async fn run_schedule(&mut self, schedule: Schedule, began: u64) -> Result<(), RunError> {
         let clock = Clock::default();
         // The fleet first gets time to form.
         let offset = self.scenario.bounds.convergence / 2;
--- a/crates/pipithub-scenario/src/fleet/run/action/tests.rs
+++ b/crates/pipithub-scenario/src/fleet/run/action/tests.rs
@@ -5,7 +5,7 @@
 use super::{Action, Link};
 
 /// Checks the code and the description of an action.
-fn assert_words(action: &Action, code: &str, description: &str) {
+fn assert_code_and_description(action: &Action, code: &str, description: &str) {
     assert_eq!(action.code(), code);
     assert_eq!(action.to_string(), description);
 }
@@ -18,24 +18,24 @@
         paused: true,
     };
     let duplicate = Action::StartDuplicate { slot: 7, of: 2 };
-    assert_words(&Action::Kill { slot: 1 }, "Kill(1)", "process 1 is killed");
-    assert_words(
+    assert_code_and_description(&Action::Kill { slot: 1 }, "Kill(1)", "process 1 is killed");
+    assert_code_and_description(
         &start(Disk::Current),
         "Start(2, Kept)",
         "process 2 is started with its disk as it was",
     );
-    assert_words(
+    assert_code_and_description(
         &start(Disk::Empty),
         "Start(2, Empty)",
         "process 2 is started with an empty disk",
     );
-    assert_words(
+    assert_code_and_description(
         &start(Disk::Stale),
         "Start(2, Old)",
         "process 2 is started with an old copy of its disk",
     );
-    assert_words(&pause, "Pause(3, true)", "process 3 is paused");
-    assert_words(
+    assert_code_and_description(&pause, "Pause(3, true)", "process 3 is paused");
+    assert_code_and_description(
         &duplicate,
         "Twin(7, 2)",
         "process 7 is started as a duplicate of process 2",
@@ -85,6 +85,6 @@
         ),
     ];
     for (action, code, description) in expected {
-        assert_words(&action, code, description);
+        assert_code_and_description(&action, code, description);
     }
 }
--- a/crates/pipithub-scenario/src/fleet/run/claims.rs
+++ b/crates/pipithub-scenario/src/fleet/run/claims.rs
@@ -24,7 +24,7 @@
         };
         if !self.slots[slot].reachable {
             self.slots[slot].reachable = true;
-            self.lead_relays_to(slot, report.listen.parse().ok());
+            self.point_relays_to(slot, report.listen.parse().ok());
         }
         let at = report.at_ms * MILLISECOND;
         let last = self.history.claims.iter().rfind(|claim| claim.run == run);
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -161,11 +161,11 @@
         if let Some(run) = self.slots[slot].run.take() {
             self.history.runs[run].ended = Some(wall_ns());
         }
-        self.lead_relays_to(slot, None);
+        self.point_relays_to(slot, None);
     }
 
     /// Lets all relays to a slot lead to an address, or nowhere.
-    pub(super) fn lead_relays_to(&self, slot: usize, address: Option<SocketAddr>) {
+    pub(super) fn point_relays_to(&self, slot: usize, address: Option<SocketAddr>) {
         let incoming = self.relays.iter().filter(|(link, _)| link.to == slot);
         incoming.for_each(|(_, relay)| relay.forward_to(address));
     }
--- a/crates/pipithub-scenario/src/outage/checks.rs
+++ b/crates/pipithub-scenario/src/outage/checks.rs
@@ -15,11 +15,11 @@
 /// A front end that lost its stream may take this long to connect again once discovery is back; the clock of the outage runs on.
 const RECONNECT_TIME: Duration = Duration::from_millis(1_500);
 /// An answer that comes later than this after its client's time has been lost.
-const LOST_AFTER: Duration = Duration::from_millis(500);
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// A call that crosses the close of its connection is sent once more by its client.
-const CLOSE_CROSSING: Duration = Duration::from_millis(50);
+const CLOSE_RACE_GRACE: Duration = Duration::from_millis(50);
 /// A front end that was terminated need not answer calls that come later than this after the signal, if it ends.
-const LAST_ARRIVAL: Duration = Duration::from_millis(700);
+const ARRIVAL_GRACE: Duration = Duration::from_millis(700);
 
 /// A rule of request handling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -122,20 +122,20 @@
 }
 
 /// A time in which a worker must get nothing new from a front end.
-struct ClosedTime {
+struct ClosedInterval {
     from: Instant,
     /// When the worker is in service again, by the list that discovery had.
     until: Instant,
 }
 
 /// The times in which a worker is closed for a front end.
-fn closed_times(
+fn closed_intervals(
     plan: &Plan,
     history: &History,
     node: usize,
     worker: usize,
     slack: Duration,
-) -> Vec<ClosedTime> {
+) -> Vec<ClosedInterval> {
     let mut closed = Vec::new();
     let mut closed_from: Option<Instant> = None;
     for change in history
@@ -145,7 +145,7 @@
     {
         if change.state == EndpointState::Serving {
             if let Some(from) = closed_from.take() {
-                closed.push(ClosedTime {
+                closed.push(ClosedInterval {
                     from,
                     until: change.at,
                 });
@@ -155,7 +155,7 @@
             closed_from = Some(notified + plan.settings.drain_grace + slack);
         }
     }
-    closed.extend(closed_from.map(|from| ClosedTime {
+    closed.extend(closed_from.map(|from| ClosedInterval {
         from,
         until: Instant::MAX,
     }));
@@ -163,7 +163,7 @@
 }
 
 fn check_drains(plan: &Plan, history: &History, slack: Duration, breaches: &mut Vec<Breach>) {
-    let mut closed: BTreeMap<(usize, usize), Vec<ClosedTime>> = BTreeMap::new();
+    let mut closed: BTreeMap<(usize, usize), Vec<ClosedInterval>> = BTreeMap::new();
     for work in &history.work {
         let rule = match work.kind {
             WorkKind::Call => Rule::DrainedCall,
@@ -172,8 +172,8 @@
         };
         let times = closed
             .entry((work.node, work.worker))
-            .or_insert_with(|| closed_times(plan, history, work.node, work.worker, slack));
-        let is_closed = |time: &ClosedTime| time.from < work.at && work.at < time.until;
+            .or_insert_with(|| closed_intervals(plan, history, work.node, work.worker, slack));
+        let is_closed = |time: &ClosedInterval| time.from < work.at && work.at < time.until;
         if let Some(time) = times.iter().find(|time| is_closed(time)) {
             let late = work.at.saturating_sub(time.from).as_millis();
             breaches.push(Breach {
@@ -206,7 +206,7 @@
 
 fn check_answers(history: &History, slack: Duration, breaches: &mut Vec<Breach>) {
     for call in &history.calls {
-        let last_time = call.sent + call.timeout + LOST_AFTER + slack;
+        let last_time = call.sent + call.timeout + LATE_ANSWER_GRACE + slack;
         let fault = match call.end {
             _ if call.further_answers > 0 => "got a second answer",
             ClientEnd::Answered { at, .. } if at > last_time => "was answered too late",
@@ -245,14 +245,14 @@
         .map(|record| record.at)
         .max();
     let Some(killed) = killed else {
-        return closed > call.sent + CLOSE_CROSSING + slack;
+        return closed > call.sent + CLOSE_RACE_GRACE + slack;
     };
     match terminated.filter(|terminated| *terminated < killed) {
         // Killed without notice: whatever it had is void.
         None => closed + slack < killed,
         // It may end once it has answered what came in time; what crosses its end is sent again.
         Some(terminated) => {
-            call.sent <= terminated + LAST_ARRIVAL && closed > call.sent + CLOSE_CROSSING + slack
+            call.sent <= terminated + ARRIVAL_GRACE && closed > call.sent + CLOSE_RACE_GRACE + slack
         }
     }
 }
@@ -301,16 +301,16 @@
             if within.len() as f64 <= budget {
                 continue;
             }
-            let told = within
+            let notified = within
                 .iter()
                 .filter(|work| work.at > notified_at(history, work.node, &change) + slack)
                 .count();
-            if told * 3 > within.len() * 2 {
+            if notified * 3 > within.len() * 2 {
                 breaches.push(Breach {
                     rule: Rule::SlowStart,
                     at: last.at,
                     what: format!(
-                        "worker {} got {} calls within its overload window, {told} of them from front ends that were told, where {budget:.0} are allowed",
+                        "worker {} got {} calls within its overload window, {notified} of them from front ends that were told, where {budget:.0} are allowed",
                         start.worker,
                         within.len()
                     ),
--- a/crates/pipithub-scenario/src/outage/client.rs
+++ b/crates/pipithub-scenario/src/outage/client.rs
@@ -163,7 +163,7 @@
                 continue;
             };
             if call.end == ClientEnd::Pending {
-                let kind = kind_of(&answer);
+                let kind = answer_kind(&answer);
                 call.end = ClientEnd::Answered { at, kind };
             } else {
                 call.further_answers += 1;
@@ -191,7 +191,7 @@
     }
 }
 
-fn kind_of(answer: &Value) -> AnswerKind {
+fn answer_kind(answer: &Value) -> AnswerKind {
     if answer["result"]["body"] == BODY {
         AnswerKind::Served
     } else if answer["error"]["code"].as_i64() == Some(REJECTED_CODE) {
--- a/crates/pipithub-scenario/src/outage/discovery.rs
+++ b/crates/pipithub-scenario/src/outage/discovery.rs
@@ -22,8 +22,8 @@
 /// How an address of discovery behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    InReach,
-    Out(OutageKind),
+    Reachable,
+    Outage(OutageKind),
     /// The front end was given another address: this one sends nothing new, and its streams end soon.
     Retired,
 }
@@ -93,19 +93,19 @@
     ) -> std::io::Result<Self> {
         let listener = ReopenableListener::bind(address).await?;
         let address = listener.address();
-        let mode = watch::Sender::new(Mode::InReach);
+        let mode = watch::Sender::new(Mode::Reachable);
         tokio::spawn(serve_address(listener, mode.subscribe(), list));
         Ok(DiscoveryAddress { address, mode })
     }
 
     /// Makes the address unreachable or silent.
     pub(super) fn begin_outage(&self, kind: OutageKind) {
-        self.mode.send_replace(Mode::Out(kind));
+        self.mode.send_replace(Mode::Outage(kind));
     }
 
     /// Makes the address serve the list again.
     pub(super) fn end_outage(&self) {
-        self.mode.send_replace(Mode::InReach);
+        self.mode.send_replace(Mode::Reachable);
     }
 
     /// Sends nothing more to its front end, which was given another address.
@@ -115,7 +115,7 @@
 }
 
 fn is_closed(mode: Mode) -> bool {
-    matches!(mode, Mode::Out(OutageKind::Refused) | Mode::Retired)
+    matches!(mode, Mode::Outage(OutageKind::Refused) | Mode::Retired)
 }
 
 /// Accepts connections as long as the mode allows it.
@@ -148,9 +148,9 @@
     };
     let present = *mode.borrow_and_update();
     match present {
-        Mode::InReach => {}
-        Mode::Out(OutageKind::Unanswered) => return stay_silent(stream, mode).await,
-        Mode::Out(_) => {
+        Mode::Reachable => {}
+        Mode::Outage(OutageKind::Unanswered) => return stay_silent(stream, mode).await,
+        Mode::Outage(_) => {
             let _ = stream.write_all(HEAD).await;
             return stay_silent(stream, mode).await;
         }
@@ -188,7 +188,7 @@
         .borrow_and_update()
         .iter()
         .skip(*sent as usize)
-        .map(text_of)
+        .map(event_text)
         .collect();
     for text in missing {
         *sent += 1;
@@ -199,7 +199,7 @@
     true
 }
 
-fn text_of(event: &Value) -> String {
+fn event_text(event: &Value) -> String {
     format!("id: {}\ndata: {event}\n\n", event["index"])
 }
 
@@ -212,14 +212,14 @@
 ) {
     let present = *mode.borrow();
     match present {
-        Mode::Out(OutageKind::Refused) | Mode::InReach => {}
-        Mode::Out(OutageKind::HalfEvent) => {
-            let next = list.events.borrow().get(sent as usize).map(text_of);
+        Mode::Outage(OutageKind::Refused) | Mode::Reachable => {}
+        Mode::Outage(OutageKind::HalfEvent) => {
+            let next = list.events.borrow().get(sent as usize).map(event_text);
             let text = next.unwrap_or_else(|| "id: 1000\ndata: {\"index\":".to_string());
             let _ = stream.write_all(&text.as_bytes()[..text.len() / 2]).await;
             stay_silent(stream, mode).await;
         }
-        Mode::Out(_) => stay_silent(stream, mode).await,
+        Mode::Outage(_) => stay_silent(stream, mode).await,
         Mode::Retired => tokio::time::sleep(CLOSE_AFTER_MIGRATION).await,
     }
 }
--- a/crates/pipithub-scenario/src/outage/draw.rs
+++ b/crates/pipithub-scenario/src/outage/draw.rs
@@ -6,14 +6,14 @@
 use crate::random::SplitMix64;
 
 const NODES: [usize; 12] = [1, 2, 3, 3, 3, 4, 5, 6, 8, 12, 20, 30];
-const GRACES_MS: [u64; 4] = [500, 1_000, 1_000, 2_000];
+const DRAIN_GRACES_MS: [u64; 4] = [500, 1_000, 1_000, 2_000];
 const CLIENT_TIMEOUTS_MS: [u64; 4] = [600, 900, 1_000, 1_500];
 /// Calls of all front ends each second, at the most.
-const MAX_CALLS: usize = 600;
+const MAX_CALLS_PER_SECOND: usize = 600;
 const DURATION_MS: u64 = 17_000;
 const SHORT_DURATION_MS: u64 = 12_000;
 /// At most this part of the workers drain, end, hang or are reset, so that those left can carry the load.
-const MAX_AFFECTED: f64 = 0.6;
+const MAX_AFFECTED_SHARE: f64 = 0.6;
 
 impl Plan {
     /// Draws a plan; equal seeds give equal plans. `is_short`: for a run in CI.
@@ -59,9 +59,9 @@
     }
 
     fn plan(mut self) -> Plan {
-        let calls = (MAX_CALLS / self.nodes).clamp(15, 80) as u32;
+        let calls = (MAX_CALLS_PER_SECOND / self.nodes).clamp(15, 80) as u32;
         let settings = Settings {
-            drain_grace: milliseconds(self.pick(&GRACES_MS)),
+            drain_grace: milliseconds(self.pick(&DRAIN_GRACES_MS)),
             client_timeout: milliseconds(self.pick(&CLIENT_TIMEOUTS_MS)),
             slow_start: milliseconds(4_000 + self.between(0, 4_000)),
         };
@@ -90,8 +90,8 @@
         }
         if self.one_in(3) {
             let at = self.between(begin, end - 2_000);
-            self.add(at, Step::Crowd(300));
-            self.add(at + 2_000, Step::Crowd(100));
+            self.add(at, Step::ScaleLoad(300));
+            self.add(at + 2_000, Step::ScaleLoad(100));
         }
         let duration = milliseconds(self.duration_ms);
         self.steps.retain(|timed| timed.at <= duration);
@@ -155,7 +155,7 @@
 
     /// Up to this many workers that no other step affects.
     fn take_workers(&mut self, count: usize) -> Vec<usize> {
-        let reserved = (self.workers as f64 * (1.0 - MAX_AFFECTED)).ceil() as usize;
+        let reserved = (self.workers as f64 * (1.0 - MAX_AFFECTED_SHARE)).ceil() as usize;
         let available = self.unaffected.len().saturating_sub(reserved);
         (0..count.min(available))
             .map(|_| {
--- a/crates/pipithub-scenario/src/outage/plan.rs
+++ b/crates/pipithub-scenario/src/outage/plan.rs
@@ -88,7 +88,7 @@
     /// Front ends are killed without notice, and start again.
     Kill(Vec<usize>),
     /// The load is multiplied by this factor, in percent.
-    Crowd(u32),
+    ScaleLoad(u32),
 }
 
 /// A step and its time from the begin of the load.
--- a/crates/pipithub-scenario/src/outage/run.rs
+++ b/crates/pipithub-scenario/src/outage/run.rs
@@ -21,9 +21,9 @@
 use crate::units::MILLISECOND;
 
 /// How long front ends may take to start before the load counts.
-const START_TIME: Duration = Duration::from_millis(1_500);
+const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 /// How long after the load answers are still awaited.
-const END_TIME: Duration = Duration::from_millis(2_500);
+const LAST_ANSWERS_TIME: Duration = Duration::from_millis(2_500);
 /// Addresses of discovery that each front end has.
 const DISCOVERY_ADDRESSES: usize = 2;
 /// The second bytes of the loopback addresses of front ends, discovery and workers.
@@ -39,17 +39,17 @@
 pub fn run(plan: &Plan, binary: &Path, folder: &Path) -> Result<History, RunError> {
     // A runtime of its own: with it end all tasks of the run, and the addresses that they listen at are free again.
     let runtime = tokio::runtime::Runtime::new()?;
-    runtime.block_on(play(plan, binary, folder))
+    runtime.block_on(run_plan(plan, binary, folder))
 }
 
-async fn play(plan: &Plan, binary: &Path, folder: &Path) -> Result<History, RunError> {
+async fn run_plan(plan: &Plan, binary: &Path, folder: &Path) -> Result<History, RunError> {
     std::fs::create_dir_all(folder)?;
     // The port is free on every loopback address as long as this listener holds it.
     let port_holder = StdListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let port = port_holder.local_addr()?.port();
     let mut cluster = Cluster::start(plan, binary, folder, port).await?;
     cluster.start_load(plan);
-    tokio::time::sleep(START_TIME).await;
+    tokio::time::sleep(STARTUP_TIME).await;
     let begin = Instant::now();
     for timed in &plan.steps {
         cluster.sleep_until_time(begin + timed.at).await?;
@@ -57,7 +57,9 @@
     }
     cluster.sleep_until_time(begin + plan.duration).await?;
     cluster.load.ended.store(true, Relaxed);
-    cluster.sleep_until_time(Instant::now() + END_TIME).await?;
+    cluster
+        .sleep_until_time(Instant::now() + LAST_ANSWERS_TIME)
+        .await?;
     cluster.finish().await
 }
 
@@ -218,7 +220,7 @@
             }
             Step::Restart(nodes) => self.begin_restarts(nodes),
             Step::Kill(nodes) => self.restart_at_once(nodes),
-            Step::Crowd(percent) => self.load.percent.store(*percent, Relaxed),
+            Step::ScaleLoad(percent) => self.load.percent.store(*percent, Relaxed),
         }
         Ok(())
     }
--- a/crates/pipithub-scenario/src/outage/worker.rs
+++ b/crates/pipithub-scenario/src/outage/worker.rs
@@ -22,7 +22,7 @@
 /// How many calls a worker has in flight at most; it rejects further ones.
 const MAX_IN_FLIGHT: usize = 64;
 /// How long a draining worker still serves calls, at most.
-const MAX_SERVED_WHILE_DRAINING: Duration = Duration::from_millis(900);
+const MAX_SERVICE_WHILE_DRAINING: Duration = Duration::from_millis(900);
 const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 const RUN_TIME_SPREAD_MS: u64 = 20;
 const LOAD_TIME: Duration = Duration::from_millis(120);
@@ -235,7 +235,7 @@
             return false;
         };
         let share = (since.as_millis() as u64 + self.index as u64) % 10;
-        let served_for = MAX_SERVED_WHILE_DRAINING.mul_f64(share as f64 / 9.0);
+        let served_for = MAX_SERVICE_WHILE_DRAINING.mul_f64(share as f64 / 9.0);
         self.recorder.now() >= since + served_for
     }
 
--- a/crates/pipithub-scenario/src/run/action/tests.rs
+++ b/crates/pipithub-scenario/src/run/action/tests.rs
@@ -3,7 +3,7 @@
 use super::Action;
 
 /// Checks the code and the description of an action.
-fn assert_words(action: &Action, code: &str, description: &str) {
+fn assert_code_and_description(action: &Action, code: &str, description: &str) {
     assert_eq!(action.code(), code);
     assert_eq!(action.to_string(), description);
 }
@@ -41,7 +41,7 @@
         ),
     ];
     for (action, code, description) in expected {
-        assert_words(&action, code, description);
+        assert_code_and_description(&action, code, description);
     }
 }
 
@@ -80,7 +80,7 @@
         ),
     ];
     for (action, code, description) in expected {
-        assert_words(&action, code, description);
+        assert_code_and_description(&action, code, description);
     }
 }
 
@@ -90,7 +90,7 @@
         server: 0,
         command: "slow \"x\"".into(),
     };
-    assert_words(
+    assert_code_and_description(
         &command,
         "Directory(0, \"slow \\\"x\\\"\")",
         "directory server 0 is given the command 'slow \"x\"'",
@@ -99,7 +99,7 @@
         server: 1,
         stale: true,
     };
-    assert_words(
+    assert_code_and_description(
         &stale,
         "Stale(1, true)",
         "directory server 1 misses all changes from now on",
@@ -108,5 +108,5 @@
         user: 60,
         tenant: 1,
     };
-    assert_words(&migration, "Move(60, 1)", "user 60 moves to tenant south");
+    assert_code_and_description(&migration, "Move(60, 1)", "user 60 moves to tenant south");
 }
--- a/crates/pipithub-scenario/src/run/directories.rs
+++ b/crates/pipithub-scenario/src/run/directories.rs
@@ -89,7 +89,7 @@
 }
 
 fn note_membership(recorder: &Recorder, user: usize, tenant: usize) {
-    let membership = Seen::Moved {
+    let membership = Seen::UserMigrated {
         user: format!("u{user}"),
         tenant: TENANTS[tenant].to_string(),
     };
--- a/crates/pipithub-scenario/src/run/driver.rs
+++ b/crates/pipithub-scenario/src/run/driver.rs
@@ -19,10 +19,10 @@
 /// The time between two calls of the progress function, in nanoseconds.
 const PROGRESS_PERIOD: u64 = SECOND;
 /// How much longer than two client timeouts the last answers are awaited, in nanoseconds.
-const LAST_ANSWERS: u64 = 4 * SECOND;
+const LAST_ANSWERS_TIMEOUT: u64 = 4 * SECOND;
 
 /// The result of driving a scenario.
-pub(super) struct Driven {
+pub(super) struct DriveResult {
     /// When the load began, in Unix nanoseconds.
     pub(super) began: u64,
     /// The number of answers received.
@@ -34,7 +34,7 @@
     cluster: &mut Cluster<'_>,
     seed: u64,
     progress: impl FnMut(f64, usize, &BTreeMap<String, usize>),
-) -> Result<Driven, RunError> {
+) -> Result<DriveResult, RunError> {
     let scenario = cluster.scenario;
     let requests = requests(scenario, seed, QUEUE);
     let actions = schedule(scenario, seed);
@@ -55,13 +55,13 @@
     };
     driver.run(latest_end(scenario)).await?;
     let answered = driver.answered;
-    Ok(Driven { began, answered })
+    Ok(DriveResult { began, answered })
 }
 
 /// When no more answers are to be expected, in nanoseconds from the first request.
 fn latest_end(scenario: &Scenario) -> u64 {
     let timeouts = scenario.classes.iter().map(|class| class.client_timeout);
-    scenario.duration + 2 * timeouts.max().unwrap_or(0) + LAST_ANSWERS
+    scenario.duration + 2 * timeouts.max().unwrap_or(0) + LAST_ANSWERS_TIMEOUT
 }
 
 struct Driver<'a, 'b, P> {
@@ -85,7 +85,7 @@
         while !self.is_done() && self.clock.now() < latest_end {
             let due = self.next_due();
             tokio::select! {
-                () = self.clock.sleep_until(Some(due)) => self.do_what_is_due().await?,
+                () = self.clock.sleep_until(Some(due)) => self.run_due_steps().await?,
                 answer = self.client.answers.recv() => match answer {
                     Some(answer) => self.count(answer),
                     None => return Err(RunError::ClientEnded),
@@ -108,7 +108,7 @@
     }
 
     /// Publishes all requests that are due, and carries out one action, so that requests never wait for many actions.
-    async fn do_what_is_due(&mut self) -> Result<(), RunError> {
+    async fn run_due_steps(&mut self) -> Result<(), RunError> {
         let clock = self.clock;
         while let Some(scheduled) = self.requests.next_if(|s| s.at <= clock.now()) {
             let sent = self.client.calls.send(scheduled.publish).await;
--- a/crates/pipithub-scenario/tests/outage_checks.rs
+++ b/crates/pipithub-scenario/tests/outage_checks.rs
@@ -91,7 +91,7 @@
     }
 }
 
-fn broken(history: &History) -> Vec<Rule> {
+fn broken_rules(history: &History) -> Vec<Rule> {
     let verdict = check(&plan(), history, SLACK);
     verdict.breaches.iter().map(|breach| breach.rule).collect()
 }
@@ -106,11 +106,11 @@
         let mut history = outage(kind);
         history.work.push(work(last, WorkKind::Call));
         history.work.push(work(last + 1_000, WorkKind::HealthCheck));
-        assert_eq!(broken(&history), [], "{kind:?}");
+        assert_eq!(broken_rules(&history), [], "{kind:?}");
         history.work.push(work(last + 1, WorkKind::Call));
         history.work.push(work(last + 2, WorkKind::LoadCommand));
         assert_eq!(
-            broken(&history),
+            broken_rules(&history),
             [Rule::DrainedCall, Rule::DrainedLoadCommand],
             "{kind:?}"
         );
@@ -122,9 +122,9 @@
     let mut history = outage(OutageKind::Unanswered);
     history.changes[0].at = at(12_000);
     history.work.push(work(13_050, WorkKind::Call));
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
     history.work.push(work(13_051, WorkKind::Call));
-    assert_eq!(broken(&history), [Rule::DrainedCall]);
+    assert_eq!(broken_rules(&history), [Rule::DrainedCall]);
 }
 
 #[test]
@@ -132,9 +132,9 @@
     let mut history = outage(OutageKind::Unanswered);
     history.nodes.push(node_event(5_500, NodeEvent::Started));
     history.work.push(work(6_650, WorkKind::Call));
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
     history.work.push(work(6_651, WorkKind::Call));
-    assert_eq!(broken(&history), [Rule::DrainedCall]);
+    assert_eq!(broken_rules(&history), [Rule::DrainedCall]);
 }
 
 #[test]
@@ -146,9 +146,9 @@
         state: EndpointState::Serving,
     });
     history.work.push(work(10_001, WorkKind::Call));
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
     history.work.push(work(9_999, WorkKind::Call));
-    assert_eq!(broken(&history), [Rule::DrainedCall]);
+    assert_eq!(broken_rules(&history), [Rule::DrainedCall]);
 }
 
 #[test]
@@ -163,9 +163,9 @@
         executions: vec![execution(0, false), execution(1, false), execution(0, true)],
         ..History::default()
     };
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
     history.executions.push(execution(1, true));
-    assert_eq!(broken(&history), [Rule::EffectOnce]);
+    assert_eq!(broken_rules(&history), [Rule::EffectOnce]);
 }
 
 #[test]
@@ -179,7 +179,7 @@
             calls: vec![call],
             ..History::default()
         };
-        assert_eq!(broken(&history), [], "{history:?}");
+        assert_eq!(broken_rules(&history), [], "{history:?}");
     }
     let mut twice = call(1_000, answered(1_100));
     twice.further_answers = 1;
@@ -194,7 +194,7 @@
             calls: vec![call],
             ..History::default()
         };
-        assert_eq!(broken(&history), [Rule::FinalAnswer], "{history:?}");
+        assert_eq!(broken_rules(&history), [Rule::FinalAnswer], "{history:?}");
     }
 }
 
@@ -210,20 +210,20 @@
         ..History::default()
     };
     assert_eq!(
-        broken(&history(1_600, 4_700)),
+        broken_rules(&history(1_600, 4_700)),
         [Rule::FinalAnswer],
         "came in time"
     );
     assert_eq!(
-        broken(&history(1_800, 4_700)),
+        broken_rules(&history(1_800, 4_700)),
         [],
         "came too late to be owed an answer"
     );
-    assert_eq!(broken(&history(900, 1_300)), [Rule::FinalAnswer]);
+    assert_eq!(broken_rules(&history(900, 1_300)), [Rule::FinalAnswer]);
     let mut killed = history(3_000, 3_100);
     killed.nodes.remove(1);
     killed.nodes[1].at = at(3_100);
-    assert_eq!(broken(&killed), [], "killed without notice");
+    assert_eq!(broken_rules(&killed), [], "killed without notice");
 }
 
 #[test]
@@ -240,10 +240,10 @@
         }],
         ..History::default()
     };
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
     history.work.extend(burst);
     history.work.sort_by_key(|work| work.at);
-    assert_eq!(broken(&history), [Rule::SlowStart]);
+    assert_eq!(broken_rules(&history), [Rule::SlowStart]);
     // Nobody was told of the start yet.
     history.outages.push(OutageRecord {
         node: 0,
@@ -251,7 +251,7 @@
         end: None,
         notification_delay: at(4_000),
     });
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_rules(&history), []);
 }
 
 #[test]
