--- a/crates/pipithub-conformance/src/fleet.rs
+++ b/crates/pipithub-conformance/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Checks whether the members of a fleet knew each other, by comparing their claims with what was true.
+//! Checks what the members of a fleet reported about each other against what was true.
 //!
 //! The truth is what the test environment did itself: which process ran when and from which disk, and which links it
-//! disturbed. The generations that runs used are read from datagrams in transit. Only the claims come from the
-//! members, because the claims are what is checked.
+//! disturbed. The generations that runs used are read from datagrams in transit. Only the claims that are checked come
+//! from the members.
 
 mod convergence;
 mod disks;
@@ -16,17 +16,17 @@
 /// A rule for the membership of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// No two runs used one generation of one name, where the fleet had time to learn of the first use.
+    /// No two runs of one name used the same generation, if the fleet had time to learn of the first use.
     UniqueGeneration,
-    /// The failure of a member is detected by all others.
+    /// All other members detect the failure of a member.
     FailureDetected,
-    /// No member that ran and could be reached was believed to be dead or unknown.
+    /// No member that ran and could be reached was believed to be dead, or was unknown to another member.
     NoFalsePositive,
-    /// A run that started from a stale or empty disk reports so, under a generation that was never used.
+    /// A run that started from a stale or empty disk reports that, and uses a higher generation than all known ones.
     StaleDiskReported,
-    /// Of two runs with one name only one takes part.
+    /// Of two runs with the same name only one is an active member.
     SingleRunPerName,
-    /// In the end all members believe what is true.
+    /// In the end the beliefs of all members are true.
     Convergence,
 }
 
@@ -41,7 +41,7 @@
         Rule::Convergence,
     ];
 
-    /// What the rule requires, in the words of tables.
+    /// What the rule requires, as shown in tables.
     pub fn description(self) -> &'static str {
         match self {
             Rule::UniqueGeneration => "no generation of a member is used twice",
@@ -71,7 +71,7 @@
 pub struct Breach {
     /// The rule that was violated.
     pub rule: Rule,
-    /// A description of what was seen.
+    /// A description of the violation.
     pub what: String,
 }
 
--- a/crates/pipithub-conformance/src/fleet/convergence.rs
+++ b/crates/pipithub-conformance/src/fleet/convergence.rs
@@ -1,10 +1,10 @@
-//! In the end all members believe what is true.
+//! Checks that in the end the beliefs of all members are true.
 
 use std::collections::BTreeSet;
 
 use super::{Belief, Breach, Claim, History, Rule};
 
-/// Checks the last claim of each run that is still up.
+/// Checks the last claim since [`History::end`] of each run that has not ended.
 pub(super) fn check(history: &History, breaches: &mut Vec<Breach>) {
     let running: Vec<usize> = (0..history.runs.len())
         .filter(|run| history.runs[*run].ended.is_none())
@@ -19,7 +19,7 @@
             .rfind(|claim| claim.run == run && claim.at >= history.end);
         let fault = match last_claim {
             None => Some(format!("{name} (run {run}) reported nothing in the end")),
-            // Of two runs with one name, one may stay out.
+            // Of two runs with the same name, one need not join.
             Some(claim) if !claim.joined => {
                 let has_duplicate = running
                     .iter()
@@ -36,7 +36,8 @@
     }
 }
 
-/// What is wrong with the members that a claim believes to be alive, if anything is.
+/// Describes the difference between the members that a run believes to be alive and those that run; `None` if there is
+/// none.
 fn wrong_membership(name: &str, claim: &Claim, names: &BTreeSet<&str>) -> Option<String> {
     let mut alive: BTreeSet<&str> = claim
         .others
--- a/crates/pipithub-conformance/src/fleet/disks.rs
+++ b/crates/pipithub-conformance/src/fleet/disks.rs
@@ -1,8 +1,9 @@
-//! A run that starts from a stale or empty disk reports so, under a generation that was never used.
+//! Checks that a run that starts from a stale or empty disk reports that, and uses a higher generation than all known
+//! ones.
 
 use super::{Bounds, Breach, Disk, History, Rule};
 
-/// Checks each run that started from another disk than its previous run left.
+/// Checks the last claim that each run from a stale or empty disk made as an active member.
 pub(super) fn check(history: &History, bounds: Bounds, breaches: &mut Vec<Breach>) {
     for (index, run) in history.runs.iter().enumerate() {
         let expected = match run.disk {
@@ -19,7 +20,7 @@
         else {
             continue;
         };
-        // A disk that gives a higher generation than the fleet knows of cannot be recognised as stale.
+        // A disk whose next generation is higher than all that the fleet knows of cannot be recognised as stale.
         if highest < run.expected_generation {
             continue;
         }
@@ -35,7 +36,8 @@
     }
 }
 
-/// The highest generation that earlier runs of the same name used long enough before this run for the fleet to know.
+/// The highest generation that earlier runs of the same name used long enough before this run for the fleet to know it;
+/// `None` if there is none.
 fn highest_known_generation(history: &History, bounds: Bounds, run: usize) -> Option<u64> {
     let started = history.runs[run].started;
     let name = &history.runs[run].name;
--- a/crates/pipithub-conformance/src/fleet/failure_detection.rs
+++ b/crates/pipithub-conformance/src/fleet/failure_detection.rs
@@ -1,8 +1,8 @@
-//! Failed members are detected, and members that run are not taken for failed.
+//! Checks that failed members are detected, and that running members are not taken for failed.
 
 use super::{Belief, Bounds, Breach, Claim, History, Rule};
 
-/// Compares what each claim says of every other member with what was true.
+/// Compares what each claim of an active member says about every other run with what was true.
 pub(super) fn check(history: &History, bounds: Bounds, breaches: &mut Vec<Breach>) {
     for claim in history.claims.iter().filter(|claim| claim.joined) {
         let own_name = &history.runs[claim.run].name;
@@ -16,7 +16,7 @@
     }
 }
 
-/// A member that has failed and is still believed to be alive, though there was time to detect it.
+/// Reports a member that has failed and is still believed to be alive, although there was time to detect the failure.
 fn undetected_failure(
     history: &History,
     bounds: Bounds,
@@ -48,7 +48,7 @@
     })
 }
 
-/// A member that runs and could be reached, but is believed to be dead or is unknown.
+/// Reports a member that runs and could be reached, but is believed to be dead or is unknown.
 fn false_positive(
     history: &History,
     bounds: Bounds,
--- a/crates/pipithub-conformance/src/fleet/generations.rs
+++ b/crates/pipithub-conformance/src/fleet/generations.rs
@@ -1,4 +1,4 @@
-//! No two runs use one generation of one name.
+//! Checks that no two runs of one name use the same generation.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     generation: u64,
 }
 
-/// Reports each generation that a second run used.
+/// Reports each use of a generation that an earlier run had used, if the fleet had time to learn of the first use.
 pub(super) fn check(history: &History, bounds: Bounds, breaches: &mut Vec<Breach>) {
     let mut uses = history.generations_used.clone();
     uses.sort_unstable_by_key(|generation_use| generation_use.first_seen);
@@ -34,8 +34,8 @@
     }
 }
 
-/// Whether the fleet had time to learn of the first use before the second. Two uses within that time, or on both sides
-/// of a partition, could only be prevented by members that agree on epochs.
+/// Whether the fleet had time to learn of the first use before the second one. Only members that agree on epochs could
+/// prevent two uses within that time, or on both sides of a partition.
 fn could_know(
     history: &History,
     bounds: Bounds,
--- a/crates/pipithub-conformance/src/fleet/history.rs
+++ b/crates/pipithub-conformance/src/fleet/history.rs
@@ -1,4 +1,4 @@
-//! The history of a fleet: its processes, their disks and links, and what they claimed of each other.
+//! The history of a fleet: its processes, their disks and links, and what they claimed about each other.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 /// The state of the disk that a run starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
-    /// As the previous run left it.
+    /// The disk is as the previous run left it.
     Current,
-    /// Without any file.
+    /// The disk holds no files.
     Empty,
-    /// An older copy of what the previous run left.
+    /// The disk holds an older copy of what the previous run left.
     Stale,
 }
 
-/// A span of time, both ends included.
+/// An interval of time that includes both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
     /// The start.
@@ -31,24 +31,24 @@
     }
 }
 
-/// One process, from start to end.
+/// One process of a member, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The name of the member that it was started as.
+    /// The name of the member that the process was started as.
     pub name: String,
-    /// When it was started.
+    /// When the process was started.
     pub started: Time,
-    /// When it was ended; `None` while it runs.
+    /// When the process was ended; `None` while it runs.
     pub ended: Option<Time>,
-    /// The disk that it started from.
+    /// The disk that the process started from.
     pub disk: Disk,
-    /// The generation that follows from this disk.
+    /// The generation that follows the one on this disk.
     pub expected_generation: u64,
-    /// When it was paused.
+    /// The intervals in which the process was paused.
     pub paused: Vec<Interval>,
 }
 
-/// What a member believes of another.
+/// What a member believes about another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Belief {
     /// The other is an active member.
@@ -64,58 +64,58 @@
     pub at: Time,
     /// The run, as an index into [`History::runs`].
     pub run: usize,
-    /// The run is an active member of the fleet.
+    /// Whether the run is an active member of the fleet.
     pub joined: bool,
-    /// The generation that it runs under.
+    /// The generation of the run.
     pub generation: u64,
-    /// The state of its disk: `kept`, `empty` or `old`.
+    /// The state of its disk as it reports it: `kept`, `empty` or `old`.
     pub disk: String,
-    /// What it believes of each other member, by name.
+    /// What the run believes about each other member, by name. Members that it does not know are missing.
     pub others: BTreeMap<String, Belief>,
 }
 
-/// The first datagram of a run under a generation.
+/// The first use of a generation by a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GenerationUse {
     /// The run, as an index into [`History::runs`].
     pub run: usize,
     /// The generation that was used.
     pub generation: u64,
-    /// When the datagram was seen in transit.
+    /// When the first datagram of the run with this generation was seen in transit.
     pub first_seen: Time,
 }
 
-/// Everything that was seen in a scenario.
+/// Everything that was recorded in a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The runs, by their start.
+    /// The runs, in the order in which they were started.
     pub runs: Vec<Run>,
-    /// The claims, by time.
+    /// The claims, in the order in which they were read; those of one run are by time.
     pub claims: Vec<Claim>,
-    /// The generations that runs took part under.
+    /// The generations that runs used.
     pub generations_used: Vec<GenerationUse>,
-    /// When links were disturbed.
+    /// The intervals in which links were disturbed.
     pub disturbances: Vec<Interval>,
-    /// When all faults were over and the fleet had had time to converge.
+    /// The time at which all faults were over and the fleet had had time to converge.
     pub end: Time,
 }
 
-/// The time that a fleet has to react.
+/// How long a fleet may take to react, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Within this all members detect a failure.
+    /// The time within which all members detect a failure.
     pub detection: Time,
-    /// Within this all members agree on the truth, whatever had gone wrong.
+    /// The time within which the beliefs of all members become true, whatever faults there were before.
     pub convergence: Time,
 }
 
 impl History {
-    /// Whether no link was disturbed at any time within.
+    /// Whether no link was disturbed at any time from `from` until `until`.
     pub(super) fn undisturbed(&self, from: Time, until: Time) -> bool {
         !self.disturbances.iter().any(|d| d.overlaps(from, until))
     }
 
-    /// Whether a run was up and not paused all the time.
+    /// Whether a run was up and not paused during all the time from `from` until `until`.
     pub(super) fn responsive(&self, run: usize, from: Time, until: Time) -> bool {
         let run = &self.runs[run];
         run.started <= from
@@ -123,7 +123,7 @@
             && !run.paused.iter().any(|pause| pause.overlaps(from, until))
     }
 
-    /// Whether the name of a run had another run at some time within.
+    /// Whether another run with the same name was up at some time from `from` until `until`.
     pub(super) fn has_other_run(&self, run: usize, from: Time, until: Time) -> bool {
         let name = &self.runs[run].name;
         let was_up =
--- a/crates/pipithub-conformance/src/fleet/identity.rs
+++ b/crates/pipithub-conformance/src/fleet/identity.rs
@@ -1,11 +1,11 @@
-//! Of two runs with one name only one takes part.
+//! Checks that of two runs with the same name only one is an active member.
 
 use super::{Bounds, Breach, History, Rule, Time};
 
-/// Claims that are no further apart than this count as simultaneous, in nanoseconds.
+/// Claims that are less than this apart count as simultaneous, in nanoseconds.
 const SIMULTANEOUS: Time = 1_000_000_000;
 
-/// Reports each pair of runs with one name that took part at the same time.
+/// Reports each pair of runs with the same name that were active members at the same time.
 pub(super) fn check(history: &History, bounds: Bounds, breaches: &mut Vec<Breach>) {
     for (first, run) in history.runs.iter().enumerate() {
         for (second, other) in history.runs.iter().enumerate().skip(first + 1) {
@@ -26,7 +26,8 @@
     }
 }
 
-/// The first time at which both runs claim to take part, though the fleet had time to settle which of them may.
+/// The first time at which both runs claim to be active members, although the fleet had time to decide on one of them;
+/// `None` if there is no such time.
 fn both_joined(history: &History, bounds: Bounds, first: usize, second: usize) -> Option<Time> {
     let started = history.runs[first]
         .started
--- a/crates/pipithub-conformance/src/record.rs
+++ b/crates/pipithub-conformance/src/record.rs
@@ -1,19 +1,19 @@
 //! The record format: one line of JSON for each event that an emulated service saw on a socket.
 //!
-//! Records are stored in files, so the serialized names of variants and fields are part of the format. A name that changes
-//! in the code keeps its serialized form.
+//! Records are stored in files, so the serialized names of variants and fields are part of the format. A name that
+//! changes in the code keeps its serialized form.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// An event, with its time and place.
+/// An event, with its time and the service that saw it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Unix time in nanoseconds; all services of a scenario run on one machine and share its clock.
     #[serde(rename = "t")]
     pub time_ns: u64,
-    /// The service that saw it: the address of a broker or worker, or a name.
+    /// The service that saw the event: its address, or a name such as `directory`.
     #[serde(rename = "at")]
     pub observer: String,
     /// The event itself.
@@ -31,13 +31,13 @@
         queues: Vec<String>,
         /// The routing key of the message.
         routing_key: String,
-        /// The message id.
+        /// The message id; `None` if the message has none.
         message_id: Option<String>,
-        /// The message id of the request that this message answers.
+        /// The correlation id, which in an answer is the message id of its request; `None` if the message has none.
         correlation_id: Option<String>,
-        /// The queue that the answer is expected on.
+        /// The queue that the answer is expected on; `None` if the message names none.
         reply_to: Option<String>,
-        /// The message's time to live, in milliseconds.
+        /// The message's time to live, in milliseconds; `None` if it has no valid one.
         expiration_ms: Option<u64>,
         /// The headers whose names begin with `pipithub-`.
         headers: BTreeMap<String, String>,
@@ -48,13 +48,13 @@
     },
     /// A broker delivered a message to a consumer.
     Delivered {
-        /// The queue that it was delivered from.
+        /// The queue that the message was delivered from.
         queue: String,
-        /// The message id.
+        /// The message id; `None` if the message has none.
         message_id: Option<String>,
-        /// The correlation id of the message.
+        /// The correlation id of the message; `None` if the message has none.
         correlation_id: Option<String>,
-        /// The message had been delivered before.
+        /// Whether the message had been delivered before.
         redelivered: bool,
         /// The name of the receiving client.
         client: String,
@@ -63,7 +63,7 @@
     Acked {
         /// The queue that the message was delivered from.
         queue: String,
-        /// The message id.
+        /// The message id; `None` if the message has none.
         message_id: Option<String>,
         /// The name of the client.
         client: String,
@@ -73,21 +73,21 @@
         /// The name of the client.
         client: String,
     },
-    /// A worker process accepts connections; it has no function loaded.
+    /// A worker process began to accept connections; it has no function loaded.
     WorkerUp {
-        /// Requests per second that it can serve once it has warmed up.
+        /// Requests per second that the worker can serve once it has warmed up.
         capacity: f64,
-        /// The part of the capacity that it starts with, from 0 to 1.
+        /// The part of the capacity that the worker starts with, from 0 to 1.
         cold_from: f64,
-        /// The time until it has warmed up, in milliseconds.
+        /// The time until the worker has warmed up, in milliseconds.
         ramp_ms: u64,
     },
     /// A worker failed because it was overloaded while it warmed up.
     #[serde(rename = "fell-over")]
     Overloaded {
-        /// Requests sent to it within its overload window.
+        /// Requests that arrived within the worker's overload window.
         sent: f64,
-        /// Requests that it could have served within that window.
+        /// The number of requests within that window beyond which the worker fails, without its tolerance.
         bound: f64,
     },
     /// An attempt reached a worker.
@@ -109,7 +109,7 @@
         request: String,
         /// The idempotency key; `None` if the request has none.
         key: Option<String>,
-        /// The request had taken effect before, so the worker dropped the duplicate.
+        /// Whether the worker dropped the request as a duplicate, because it had taken effect before.
         dropped: bool,
     },
     /// A worker wrote its reply to an attempt.
@@ -122,24 +122,24 @@
         attempt: u32,
         /// The HTTP status of the reply.
         status: u16,
-        /// The reply says that the request did not run.
+        /// Whether the reply says that the request did not run.
         not_run: bool,
     },
-    /// A load or evict command reached a worker.
+    /// A command to load or unload replicas reached a worker.
     #[serde(rename = "order")]
     LoadCommand {
         /// The front end that sent the command.
         front_end: String,
-        /// The function to load or evict.
+        /// The function to load or unload.
         function: String,
-        /// The number of replicas to load; 0 for a command to evict idle replicas.
+        /// The number of replicas to load; 0 for a command to unload idle replicas.
         #[serde(rename = "copies")]
         replicas: u32,
     },
-    /// A poll of the load reached a worker.
+    /// A load poll reached a worker.
     #[serde(rename = "probe")]
     LoadPoll {
-        /// The front end that polled.
+        /// The front end that sent the poll.
         front_end: String,
     },
     /// The endpoint list notified a client of the state of a worker.
@@ -154,7 +154,7 @@
         /// When the worker started, in Unix milliseconds; `None` if the list does not say.
         started_ms: Option<u64>,
     },
-    /// From now on a user belongs to this tenant, according to the most current server of the directory.
+    /// A user belongs to this tenant from now on, according to the servers of the directory that are up to date.
     #[serde(rename = "moved")]
     UserMigrated {
         /// The user's name.
@@ -170,16 +170,17 @@
 }
 
 impl Record {
-    /// The record as a line of a file, with its line feed.
+    /// The record as one line of JSON, with its line feed.
     pub fn line(&self) -> String {
         let mut line = serde_json::to_string(self).unwrap_or_default();
         line.push('\n');
         line
     }
 
-    /// Reads the text of a file. A last line without line feed was truncated by the end of a process and is skipped.
+    /// Reads all records from the text of a file. Empty lines are skipped, and so is a last line without a line feed,
+    /// which was truncated when the process that wrote it ended.
     ///
-    /// Fails at the first other line that is no record.
+    /// Fails at the first other line that is not a valid record.
     pub fn read_all(text: &str) -> Result<Vec<Record>, RecordError> {
         let complete = text.rfind('\n').map_or("", |end| &text[..end]);
         let read = |(n, line): (usize, &str)| {
@@ -197,7 +198,7 @@
     }
 }
 
-/// A line that is no record.
+/// The error of a line that is not a valid record.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct RecordError {
--- a/crates/pipithub-conformance/src/report.rs
+++ b/crates/pipithub-conformance/src/report.rs
@@ -1,4 +1,4 @@
-//! Served, rejected, failed and late requests by window of time.
+//! Counts served, rejected, failed and late requests by time window.
 //!
 //! The names of the fields are the keys of the JSON report.
 
@@ -12,10 +12,10 @@
 /// Nanoseconds of a second.
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The outcomes of the requests of a window, or of all requests.
+/// The outcomes of the requests that were published within a window, or of all requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// Seconds from the first request to its beginning.
+    /// Seconds from the first request to the start of the window.
     pub from_s: f64,
     /// The number of published requests.
     pub calls: usize,
@@ -29,24 +29,25 @@
     pub failed: usize,
     /// Requests without an answer.
     pub unanswered: usize,
-    /// The part of the requests that was served within the latency objective, weighted by the weight of each class.
+    /// The part of the requests that was served within the latency objective, weighted by class, from 0 to 1; 1 if the
+    /// window has no requests or their weights are 0.
     pub service: f64,
 }
 
-/// All windows and the totals.
+/// The outcomes of all requests, in total and by window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
     /// The totals over all requests.
     pub whole: Window,
     /// The windows, by time.
     pub windows: Vec<Window>,
-    /// Milliseconds from publication to answer, of served requests: p50, p99, p99.9.
+    /// Milliseconds from publication to answer, of served requests: p50, p99 and p99.9; 0 if none was served.
     pub latency_ms: [f64; 3],
-    /// Attempts that reached workers, for each request published.
+    /// The mean number of attempts per published request that reached workers.
     pub attempts: f64,
 }
 
-/// Computes a report with windows of the given width in nanoseconds. Without requests it has no windows.
+/// Computes a report with windows of the given width in nanoseconds. Without requests the report has no windows.
 pub fn report(records: &[Record], config: &RuleConfig, window: u64) -> Report {
     let traces = request_traces(records, config);
     let published = || traces.values().map(|trace| trace.published);
@@ -80,7 +81,7 @@
     window: Window,
     /// The sum of the weights of all requests.
     total_weight: f64,
-    /// The sum of the weights of those served within the latency objective.
+    /// The sum of the weights of the requests served within the latency objective.
     served_weight: f64,
 }
 
@@ -125,7 +126,7 @@
     answer.verdict == "served"
 }
 
-/// The p50, p99 and p99.9 of the latencies of served requests, in milliseconds.
+/// The p50, p99 and p99.9 of the latencies of served requests, in milliseconds; 0 if none was served.
 fn latency_quantiles<'a>(traces: impl Iterator<Item = &'a RequestTrace>) -> [f64; 3] {
     let latency = |trace: &RequestTrace| {
         let answer = trace.answers.first().filter(|answer| is_served(answer))?;
--- a/crates/pipithub-conformance/src/rules.rs
+++ b/crates/pipithub-conformance/src/rules.rs
@@ -1,8 +1,8 @@
-//! The rules of request handling and that of tenants, decided from records of traffic.
+//! The rules of request handling and of tenant isolation, checked against records of traffic.
 //!
-//! Times are those at which the emulated services saw something. A front end acts before a service sees it and learns
-//! after one wrote it, so every comparison allows for the time in transit ([`RuleConfig::slack`]), which is added to
-//! the figures of the rules themselves.
+//! Times are those at which the emulated services saw an event. A front end acts before a service sees the action, and
+//! receives a message after a service wrote it. Comparisons therefore allow for the time in transit
+//! ([`RuleConfig::slack`]), in addition to the time limits of the rules themselves.
 
 mod drains;
 mod effects;
@@ -24,22 +24,22 @@
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may be repeated any number of times.
     Idempotent,
-    /// Under its idempotency key, for as long as workers remember the key.
+    /// The request may be repeated under its idempotency key, for as long as workers remember the key.
     WithKey,
-    /// Never once it may have run.
+    /// The request must not be repeated once it may have run.
     NonIdempotent,
 }
 
 /// The parameters of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassRules {
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// How long a client waits, in nanoseconds.
+    /// How long a client waits for the answer, in nanoseconds.
     pub client_timeout: u64,
-    /// An answer after this is late, in nanoseconds.
+    /// The time from publication after which an answer is late, in nanoseconds.
     pub latency_objective: u64,
     /// The weight of a served request in the report.
     pub priority_weight: f64,
@@ -54,7 +54,7 @@
     pub window: u64,
     /// Load commands allowed in any window.
     pub burst: f64,
-    /// Load commands allowed on top for each request delivered within the window.
+    /// Load commands allowed in addition for each request delivered to the front end within the window.
     pub per_request: f64,
 }
 
@@ -67,25 +67,26 @@
     pub queue: String,
     /// Allowance for the time in transit, in nanoseconds.
     pub slack: u64,
-    /// How long after it was notified a front end may still send to a draining worker, in nanoseconds.
+    /// How long after its notification of a drain a front end may still send new work to the worker, in nanoseconds.
     pub drain_grace: u64,
-    /// The rate limit on load commands, if there is one.
+    /// The rate limit on load commands; `None` if they are not limited.
     pub load_rate_limit: Option<LoadRateLimit>,
-    /// How long after the migration of a user a request may still reach the old tenant, in nanoseconds; `None` where
-    /// there are no tenants. Functions are named after their tenants, as in `north-map`.
+    /// How long after the migration of a user a request may still reach a function of the old tenant, in nanoseconds;
+    /// `None` where there are no tenants. The name of a function begins with its tenant, as in `north-map`.
     pub migration_grace: Option<u64>,
-    /// Requests published after this need no answer, because the records end too early to hold it.
+    /// Requests published after this Unix time in nanoseconds need no answer, because the records end too early to hold
+    /// it; `None` if all requests need one.
     pub published_until: Option<u64>,
 }
 
 /// A rule for the traffic of front ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has one final answer, in time.
+    /// Each request has exactly one final answer, in time.
     OneFinalAnswer,
     /// No request takes effect twice, unless it is idempotent.
     EffectAtMostOnce,
-    /// A draining or removed worker gets nothing new.
+    /// A draining or removed worker gets no new work.
     DrainRespected,
     /// No worker that is warming up is overloaded.
     SlowStartRespected,
@@ -106,7 +107,7 @@
         Rule::TenantIsolation,
     ];
 
-    /// What the rule requires, in the words of tables.
+    /// What the rule requires, as shown in tables.
     pub fn description(self) -> &'static str {
         match self {
             Rule::OneFinalAnswer => "one final answer to each call, in time",
@@ -136,13 +137,13 @@
 pub struct Breach {
     /// The rule that was violated.
     pub rule: Rule,
-    /// When, in Unix nanoseconds.
+    /// When the rule was violated, in Unix nanoseconds.
     pub at: u64,
-    /// A description of what was seen.
+    /// A description of the violation.
     pub what: String,
 }
 
-/// Checks all rules; breaches are sorted by rule, then by time.
+/// Checks all rules and returns the violations, sorted by rule and then by time.
 pub fn check(records: &[Record], config: &RuleConfig) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for (id, trace) in &request_traces(records, config) {
--- a/crates/pipithub-conformance/src/rules/drains.rs
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -1,22 +1,23 @@
-//! A draining or removed worker gets nothing new.
+//! Checks that draining and removed workers get no new work.
 
 use std::collections::BTreeMap;
 
 use super::{Breach, MS, Rule, RuleConfig};
 use crate::record::{Record, Seen};
 
-/// A front end and a worker of which it was notified.
+/// A front end, and a worker whose state it was notified of.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FrontEndAndWorker<'a> {
     front_end: &'a str,
     worker: &'a str,
 }
 
-/// Checks that requests and load commands respect drains.
+/// Reports each request and load command that a front end sent too long after it was notified of the worker's drain or
+/// removal.
 pub(super) fn check(records: &[Record], config: &RuleConfig, breaches: &mut Vec<Breach>) {
     let mut by_time: Vec<&Record> = records.iter().collect();
     by_time.sort_by_key(|record| record.time_ns);
-    // Since when each front end has known that a worker takes nothing new.
+    // The time at which each front end was notified that a worker takes no new work.
     let mut closed_since: BTreeMap<FrontEndAndWorker<'_>, u64> = BTreeMap::new();
     for record in by_time {
         note_endpoint_state(&mut closed_since, record);
@@ -40,7 +41,7 @@
     }
 }
 
-/// Follows the endpoint states that front ends are notified of.
+/// Updates the times of notification if the record is a notification of the endpoint list.
 fn note_endpoint_state<'a>(
     closed_since: &mut BTreeMap<FrontEndAndWorker<'a>, u64>,
     record: &'a Record,
@@ -62,15 +63,15 @@
     }
 }
 
-/// New work for a worker.
+/// Work that a front end sent to a worker.
 struct NewWork<'a> {
-    /// The front end that sent it.
+    /// The front end that sent the work.
     front_end: &'a str,
-    /// Its description for reports.
+    /// A description of the work for reports.
     work: String,
 }
 
-/// The new work that a record shows; `None` for other records.
+/// The new work that an event shows; `None` for other events.
 fn new_work(seen: &Seen) -> Option<NewWork<'_>> {
     match seen {
         Seen::Call {
--- a/crates/pipithub-conformance/src/rules/effects.rs
+++ b/crates/pipithub-conformance/src/rules/effects.rs
@@ -1,4 +1,4 @@
-//! No request takes effect twice, unless it is idempotent.
+//! Checks that no request takes effect twice, unless it is idempotent.
 
 use super::{Attempt, Breach, ClassRules, Idempotency, RequestTrace, Rule, RuleConfig};
 
@@ -33,7 +33,7 @@
     check_retries(id, trace, class, &mut add);
 }
 
-/// A rejection tells the client that it may safely try again, which is wrong of a request that ran.
+/// Reports a rejected request that took effect: a rejection tells the client that it may safely retry.
 fn check_rejection(
     id: &str,
     trace: &RequestTrace,
@@ -53,7 +53,8 @@
     }
 }
 
-/// A retry needs proof that no earlier attempt ran or, with an idempotency key, that workers still recognise the key.
+/// Reports each retry without proof that every earlier attempt did not run or, with an idempotency key, is recent
+/// enough for workers to recognise the key.
 fn check_retries(
     id: &str,
     trace: &RequestTrace,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Whether a reply until this time says that the attempt did not run.
+/// Whether a reply that was written by `until` says that the attempt did not run.
 fn is_proven_not_run(attempt: &Attempt, until: u64, trace: &RequestTrace) -> bool {
     trace
         .replies
--- a/crates/pipithub-conformance/src/rules/final_answer.rs
+++ b/crates/pipithub-conformance/src/rules/final_answer.rs
@@ -1,8 +1,8 @@
-//! One final answer to each request, in time.
+//! Checks that each request has exactly one final answer, in time.
 
 use super::{Answer, Breach, MS, RequestTrace, Rule, RuleConfig};
 
-/// Checks the answers of one request.
+/// Checks the number and times of the answers to one request, and that no attempt follows the answer.
 pub(super) fn check(
     id: &str,
     trace: &RequestTrace,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The answer must come before the client stops waiting.
+/// Reports an answer that comes after the client has stopped waiting.
 fn check_lateness(
     id: &str,
     answer: &Answer,
@@ -58,8 +58,8 @@
     config: &RuleConfig,
     add: &mut impl FnMut(u64, String),
 ) {
-    // A request that a front end held when it died is delivered again and has its full time from then on. A request
-    // that is delivered after its deadline is answered at once.
+    // A request that a front end held when it ended is delivered again and gets its full time from then on. A request
+    // that is delivered after its deadline must be answered at once.
     let last_delivery = trace.deliveries.last().map_or(trace.published, |d| d.at);
     let redelivered = trace.deliveries.iter().any(|d| d.redelivered);
     let start = if redelivered {
@@ -78,7 +78,7 @@
     }
 }
 
-/// No attempt may be made once the request has been answered.
+/// Reports the first attempt that was made after the request had been answered.
 fn check_later_attempts(
     id: &str,
     answer: &Answer,
--- a/crates/pipithub-conformance/src/rules/load_rate.rs
+++ b/crates/pipithub-conformance/src/rules/load_rate.rs
@@ -1,4 +1,4 @@
-//! Load commands stay within their rate limit.
+//! Checks that load commands stay within their rate limit.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 /// Times of events by front end, in Unix nanoseconds.
 type TimesByFrontEnd<'a> = BTreeMap<&'a str, Vec<u64>>;
 
-/// Checks the load commands of each front end against the requests that it received.
+/// Checks the load commands of each front end against the limit, which grows with the requests that it received.
 pub(super) fn check(
     records: &[Record],
     config: &RuleConfig,
@@ -23,7 +23,7 @@
             .map(Vec::as_slice)
             .unwrap_or_default();
         for (index, at) in commands.iter().enumerate() {
-            // The slack is in the favour of the front end on both sides.
+            // The slack favours the front end: it shortens the window for commands and widens the one for requests.
             let in_window = commands[..=index]
                 .iter()
                 .filter(|t| **t + limit.window > at + config.slack)
--- a/crates/pipithub-conformance/src/rules/slow_start.rs
+++ b/crates/pipithub-conformance/src/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! No worker that is warming up is overloaded.
+//! Checks that no worker is overloaded while it warms up.
 
 use super::{Breach, Rule};
 use crate::record::{Record, Seen};
--- a/crates/pipithub-conformance/src/rules/tenants.rs
+++ b/crates/pipithub-conformance/src/rules/tenants.rs
@@ -1,20 +1,21 @@
-//! No request reaches a function of another tenant.
+//! Checks that no request reaches a function of another tenant.
 
 use std::collections::BTreeMap;
 
 use super::{Breach, Rule, RuleConfig};
 use crate::record::{Record, Seen};
 
-/// The tenant of a user from a time on, until the next membership of that user. The order of the fields is the sort
-/// order.
+/// The membership of a user in a tenant, from a time in Unix nanoseconds until the user's next membership. The order of
+/// the fields is the sort order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Membership<'a> {
     since: u64,
     tenant: &'a str,
 }
 
-/// Checks that each request reached workers only for functions of the tenant that its user belongs to, or belonged to
-/// until the grace period before. The user is the one that the message names; the front end must verify the signature.
+/// Checks that each request reached workers only for functions of a tenant that its user belongs to, or left no longer
+/// than the grace period and the slack ago. The user is the one that the message names, because the front end must
+/// verify the signature.
 pub(super) fn check(
     records: &[Record],
     config: &RuleConfig,
@@ -59,7 +60,7 @@
     memberships
 }
 
-/// The user that each request names.
+/// The user that each request names, by the id of the request. Requests without a user are left out.
 fn users_of_requests<'a>(records: &'a [Record], config: &RuleConfig) -> BTreeMap<&'a str, &'a str> {
     let mut users: BTreeMap<&str, &str> = BTreeMap::new();
     for record in records {
@@ -78,7 +79,8 @@
     users
 }
 
-/// Whether one of these memberships is of the tenant and holds at the time, or ended within the grace before it.
+/// Whether one of these memberships is in the tenant and holds at the time, or ended at most `grace` nanoseconds
+/// before.
 fn is_member(memberships: &[Membership<'_>], tenant: &str, at: u64, grace: u64) -> bool {
     memberships.iter().enumerate().any(|(index, membership)| {
         let until = memberships
--- a/crates/pipithub-conformance/src/rules/trace.rs
+++ b/crates/pipithub-conformance/src/rules/trace.rs
@@ -1,4 +1,4 @@
-//! Gathers the records of each request into one trace.
+//! Groups the records of each request into one trace.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 /// A delivery of a request to a front end. The order of the fields is the sort order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Delivery {
-    /// When, in Unix nanoseconds.
+    /// When the request was delivered, in Unix nanoseconds.
     pub at: u64,
-    /// The broker had delivered it before.
+    /// Whether the broker had delivered the request before.
     pub redelivered: bool,
-    /// The client that received it.
+    /// The name of the client that received the request.
     pub client: String,
 }
 
 /// An answer to a request. The order of the fields is the sort order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Answer {
-    /// When it was published, in Unix nanoseconds.
+    /// When the answer was published, in Unix nanoseconds.
     pub at: u64,
     /// `served`, `refused` or `failed`.
     pub verdict: String,
@@ -32,54 +32,54 @@
     pub worker: String,
     /// The number of the attempt at its front end.
     pub number: u32,
-    /// The front end that made it.
+    /// The front end that made the attempt.
     pub front_end: String,
 }
 
 /// An attempt that reached a worker. The order of the fields is the sort order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
-    /// When, in Unix nanoseconds.
+    /// When the attempt reached the worker, in Unix nanoseconds.
     pub at: u64,
-    /// The attempt's identity.
+    /// The identity of the attempt.
     pub id: AttemptId,
 }
 
 /// A worker's reply to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// When, in Unix nanoseconds.
+    /// When the worker wrote the reply, in Unix nanoseconds.
     pub at: u64,
-    /// The attempt that it replies to.
+    /// The attempt that the worker replied to.
     pub attempt: AttemptId,
-    /// It says that the request did not run.
+    /// Whether the reply says that the request did not run.
     pub not_run: bool,
 }
 
-/// A request and everything that was seen of it.
+/// A request and all events that belong to it.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTrace {
-    /// When it was published, in Unix nanoseconds.
+    /// When the request was published, in Unix nanoseconds.
     pub published: u64,
-    /// The name of its class; empty if it has none.
+    /// The name of the request's class; empty if it has none.
     pub class: String,
-    /// How long its client waits, in nanoseconds.
+    /// How long the client waits for the answer, in nanoseconds.
     pub timeout: u64,
-    /// Its deliveries, by time.
+    /// The deliveries to front ends, by time.
     pub deliveries: Vec<Delivery>,
-    /// Its answers, by time.
+    /// The answers, by time.
     pub answers: Vec<Answer>,
-    /// Its attempts, by time.
+    /// The attempts that reached workers, by time.
     pub attempts: Vec<Attempt>,
-    /// The replies of workers, as recorded.
+    /// The replies of workers, in the order of the records.
     pub replies: Vec<Reply>,
-    /// When it took effect, in Unix nanoseconds.
+    /// The times at which the request took effect, in Unix nanoseconds, sorted.
     pub effects: Vec<u64>,
 }
 
-/// Gathers records by the id of their request.
+/// Groups records by the id of the request that they belong to.
 pub fn request_traces(records: &[Record], config: &RuleConfig) -> BTreeMap<String, RequestTrace> {
-    // The requests come first: the records of different services are in no common order.
+    // Traces are created first, because the records of different services are in no common order.
     let mut traces: BTreeMap<String, RequestTrace> = records
         .iter()
         .filter_map(|record| published_request(record, config))
@@ -99,7 +99,7 @@
     traces
 }
 
-/// The trace that begins with this record, by its id, where the record is the publication of a request.
+/// The id of a request and its new trace, if the record is the publication of a request.
 fn published_request(record: &Record, config: &RuleConfig) -> Option<(String, RequestTrace)> {
     let Seen::Published {
         queues,
@@ -130,7 +130,7 @@
     Some((id.clone(), trace))
 }
 
-/// The id of the request that a record belongs to.
+/// The id of the request that a record belongs to; `None` if it belongs to none.
 fn request_id<'a>(seen: &'a Seen, config: &RuleConfig) -> Option<&'a str> {
     match seen {
         Seen::Published { correlation_id, .. } => correlation_id.as_deref(),
--- a/crates/pipithub-conformance/tests/fleet.rs
+++ b/crates/pipithub-conformance/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The checks against a compliant history, and against histories in which each rule is broken on purpose.
+//! Runs the fleet checks on a compliant history, and on histories in which each rule is broken on purpose.
 
 use pipithub_conformance::fleet::{
     Belief, Bounds, Claim, Disk, GenerationUse, History, Interval, Rule, Run, Time, check,
@@ -50,7 +50,7 @@
     Interval { from, until }
 }
 
-/// Two that run, a third that dies at 20 s; claims at 10, 18, 30 and 40 s.
+/// A history of two members that run and a third that fails at 20 s. The two make claims at 10, 18, 30 and 40 s.
 fn compliant() -> History {
     let mut history = History {
         runs: vec![run("a", 0, None), run("b", 0, None), run("c", 0, Some(20))],
--- a/crates/pipithub-conformance/tests/rules.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checks against compliant traffic, and against traffic in which each rule is broken on purpose.
+//! Runs the checks on compliant traffic, and on traffic in which each rule is broken on purpose.
 
 use std::collections::BTreeMap;
 
@@ -164,7 +164,7 @@
     )
 }
 
-/// Records of a call that is rejected by one worker and served by another.
+/// The records of a request that one worker rejects and another one serves.
 fn compliant() -> Vec<Record> {
     vec![
         published(0, "a", "unsafe"),
@@ -224,7 +224,7 @@
     assert_eq!(
         broken_rules(compliant_with(late(3_400, true))),
         [],
-        "its first front end died"
+        "the request was delivered again after its front end had ended"
     );
     assert_eq!(
         broken_rules(compliant_with(late(3_600, true))),
@@ -252,12 +252,12 @@
     assert_eq!(
         broken_rules(two("keyed", 1_200)),
         [Rule::EffectAtMostOnce],
-        "forgotten by then"
+        "workers no longer recognise the key"
     );
     assert_eq!(
         broken_rules(two("unsafe", 200)),
         [Rule::EffectAtMostOnce],
-        "it may have run, whether it did or not"
+        "the first attempt may have run"
     );
     assert_eq!(
         broken_rules(compliant_with(vec![ran(50, "a", "w3")])),
@@ -273,7 +273,7 @@
     assert_eq!(
         broken_rules(refused),
         [Rule::EffectAtMostOnce],
-        "a refusal of what ran is a lie"
+        "a request that ran was answered as refused"
     );
 }
 
@@ -292,7 +292,11 @@
     assert_eq!(broken_rules(after(600, "draining")), []);
     assert_eq!(broken_rules(after(800, "draining")), [Rule::DrainRespected]);
     assert_eq!(broken_rules(after(800, "gone")), [Rule::DrainRespected]);
-    assert_eq!(broken_rules(after(800, "live")), [], "it came back");
+    assert_eq!(
+        broken_rules(after(800, "live")),
+        [],
+        "the worker is live again"
+    );
 }
 
 #[test]
@@ -312,11 +316,11 @@
 
 #[test]
 fn load_commands_beyond_the_rate_limit_are_found() {
-    // One in any case and half of the one call taken: 1.5.
+    // The limit is 1.5: a burst of 1, and 0.5 for the one request that was delivered.
     assert_eq!(
         broken_rules(compliant_with(vec![load_command(6_000, "w2")])),
         [],
-        "the window has passed"
+        "the first command is outside the window"
     );
     assert_eq!(
         broken_rules(compliant_with(vec![load_command(2_000, "w2")])),
@@ -363,22 +367,39 @@
             .count()
     };
     assert_eq!(crossed(400, "north-map", "mai"), 0);
-    assert_eq!(crossed(650, "north-map", "mai"), 0, "within the bound");
+    assert_eq!(
+        crossed(650, "north-map", "mai"),
+        0,
+        "within the grace period of the migration"
+    );
     assert_eq!(crossed(800, "north-map", "mai"), 1);
-    assert_eq!(crossed(400, "south-map", "mai"), 1, "not there yet");
+    assert_eq!(
+        crossed(400, "south-map", "mai"),
+        1,
+        "the user has not migrated yet"
+    );
     assert_eq!(crossed(800, "south-map", "mai"), 0);
-    assert_eq!(crossed(800, "south-map", "lan"), 1, "nobody's");
+    assert_eq!(
+        crossed(800, "south-map", "lan"),
+        1,
+        "the user belongs to no tenant"
+    );
 }
 
 #[test]
 fn records_read_back_and_a_truncated_line_is_skipped() {
     let text: String = compliant().iter().map(Record::line).collect();
-    assert_eq!(Record::read_all(&text).expect("own lines"), compliant());
+    assert_eq!(
+        Record::read_all(&text).expect("lines that Record::line wrote"),
+        compliant()
+    );
     let cut = &text[..text.len() - 5];
     assert_eq!(
-        Record::read_all(cut).expect("but the last").len(),
+        Record::read_all(cut)
+            .expect("the truncated last line is skipped")
+            .len(),
         compliant().len() - 1
     );
-    let error = Record::read_all("{\"t\":1}\n").expect_err("no record");
+    let error = Record::read_all("{\"t\":1}\n").expect_err("the line is not a record");
     assert_eq!(error.line, 1);
 }
