--- a/crates/pipithub-scenario/src/client.rs
+++ b/crates/pipithub-scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! A queue client: publishes requests and collects their answers, over any number of lost connections.
+//! A queue client that publishes requests and collects their answers, and reconnects when a connection is lost.
 
 mod connection;
 mod consumers;
@@ -24,7 +24,7 @@
     pub class: String,
     /// The function to call.
     pub function: String,
-    /// The timeout in milliseconds; `None` for that of the class.
+    /// The timeout in milliseconds; `None` for the timeout of the class.
     pub budget_ms: Option<u64>,
     /// Memory that a replica of the function needs, in megabytes; 0 if unknown.
     pub memory_mb: u32,
--- a/crates/pipithub-scenario/src/client/connection.rs
+++ b/crates/pipithub-scenario/src/client/connection.rs
@@ -17,12 +17,12 @@
 
 /// The delay before a new connection is opened.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// No further request is taken while this many bytes wait to be written.
+/// No further request is taken while at least this many bytes wait to be written.
 const MAX_OUTPUT: usize = 1 << 20;
 /// The delivery mode of messages that survive a restart of the broker.
 const PERSISTENT: u8 = 2;
 
-/// Connects to the broker again and again, and publishes on each connection what was not yet published.
+/// Connects to the broker whenever there is no connection, and publishes the requests that were not published yet.
 pub(super) struct Connector {
     pub(super) address: String,
     pub(super) login: Login,
@@ -41,7 +41,7 @@
 }
 
 impl Connector {
-    /// Runs until the sender of requests is dropped and all requests have been taken.
+    /// Connects again after each connection, until the sender of requests is dropped and all requests have been taken.
     pub(super) async fn run(self, mut requests: mpsc::Receiver<Publish>) {
         let mut unsent: VecDeque<Publish> = VecDeque::new();
         while !requests.is_closed() || !requests.is_empty() {
@@ -116,7 +116,7 @@
         self.endpoint.take_output(self.connector.clock.now())
     }
 
-    /// Handles all events that the broker caused, and passes answers on.
+    /// Handles all events of the connection, and forwards answers to their receiver.
     async fn handle_events(&mut self) -> Flow {
         while let Some(event) = self.endpoint.poll_event() {
             match event {
@@ -156,7 +156,7 @@
             no_wait: false,
             arguments: FieldTable::new(),
         };
-        // A send fails only on a closed channel, of which an event follows.
+        // A send fails only on a closed channel, which an event reports.
         let _ = self.endpoint.send(channel, declare(reply_queue, false));
         let _ = self.endpoint.send(channel, consume);
     }
@@ -209,7 +209,7 @@
     }
 }
 
-/// The message of a request, with its signature.
+/// The message of a request, with a signature if the request is signed.
 fn message(request: Publish, reply_queue: &str) -> Content {
     let properties = Properties {
         content_type: Some(short("application/json")),
--- a/crates/pipithub-scenario/src/client/consumers.rs
+++ b/crates/pipithub-scenario/src/client/consumers.rs
@@ -10,7 +10,7 @@
 
 use super::declare;
 
-/// How long the whole exchange with the broker may take.
+/// How long the connection to the broker and the query may take together.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How many consumers a queue has; `None` if the broker does not answer or has no such queue.
--- a/crates/pipithub-scenario/src/document.rs
+++ b/crates/pipithub-scenario/src/document.rs
@@ -58,17 +58,17 @@
         Ok(Document { kdl, source })
     }
 
-    /// Its nodes, in the order of the file.
+    /// The nodes of the file, in their order.
     pub(crate) fn nodes(&self) -> impl Iterator<Item = Node<'_>> {
         self.kdl.nodes().iter().map(|node| self.wrap(node))
     }
 
-    /// The first node of a name.
+    /// The first node with a name; `None` if the file has none.
     pub(crate) fn node(&self, name: &str) -> Option<Node<'_>> {
         self.kdl.get(name).map(|node| self.wrap(node))
     }
 
-    /// An error that concerns no single node.
+    /// Returns an error that concerns no single node. Its position is the start of the file.
     pub(crate) fn error<T>(&self, message: &str) -> ParseResult<T> {
         self.source.error(message.to_string(), (0, 0).into())
     }
@@ -93,17 +93,17 @@
         self.kdl.name().value()
     }
 
-    /// An error at this node.
+    /// Returns an error at this node.
     pub(crate) fn error<T>(&self, message: impl Into<String>) -> ParseResult<T> {
         self.source.error(message.into(), self.kdl.span())
     }
 
-    /// Its first argument; `None` if that is missing or not a string.
+    /// The first argument; `None` if it is missing or not a string.
     pub(crate) fn argument(&self) -> Option<&'a str> {
         self.kdl.get(0).and_then(|value| value.as_string())
     }
 
-    /// The values of all its arguments and properties that are strings.
+    /// The values of all arguments and properties of the node that are strings.
     pub(crate) fn string_values(&self) -> Vec<String> {
         self.kdl
             .entries()
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// The text of its children; empty if it has none.
+    /// The text of the node's children; empty if it has none.
     pub(crate) fn children_text(&self) -> String {
         self.kdl
             .children()
@@ -158,13 +158,13 @@
         }
     }
 
-    /// A number property without its fraction. Fails as [`Node::number`] does.
+    /// A number property, rounded down to an integer. Fails as [`Node::number`] does.
     pub(crate) fn count(&self, name: &str, default: Option<usize>) -> ParseResult<usize> {
         let default = default.map(|count| count as f64);
         Ok(self.number(name, default)? as usize)
     }
 
-    /// Fails if it has a property other than these.
+    /// Fails if the node has a property other than these.
     pub(crate) fn allow(&self, names: &[&str]) -> ParseResult<()> {
         let given = self
             .kdl
--- a/crates/pipithub-scenario/src/error.rs
+++ b/crates/pipithub-scenario/src/error.rs
@@ -6,7 +6,7 @@
     /// A file, a socket or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The generated settings of a front end are invalid; this holds the faults and their lines.
+    /// The generated settings of a front end are invalid; the text holds the errors and their lines.
     #[error("{0}")]
     Settings(String),
     /// The front ends did not begin to consume from the broker in time.
@@ -21,7 +21,7 @@
     /// The queue client accepts no more requests.
     #[error("the queue client accepts no more requests")]
     PublishChannelClosed,
-    /// Front ends ended while they were to serve; this holds their indexes.
+    /// Front ends ended before the end of the run; the list holds their indexes.
     #[error("front ends {0:?} ended by themselves")]
     FrontEndsEnded(Vec<usize>),
     /// A file of records cannot be read.
@@ -32,7 +32,7 @@
         /// The error of its first invalid line.
         source: pipithub_conformance::record::RecordError,
     },
-    /// The records hold no attempt, so every rule would hold trivially.
+    /// The records hold no attempt that reached a worker, so there is nothing to check.
     #[error("the records hold no call that reached a worker")]
     NoAttempts,
 }
--- a/crates/pipithub-scenario/src/fleet.rs
+++ b/crates/pipithub-scenario/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a fleet of front ends that know each other: many processes of this program, each with a data folder of
-//! its own, and a relay on each direction of each link between two of them.
+//! Scenarios of a fleet of front ends, which are processes with a data folder each. Every direction of every link between
+//! two of them passes through a relay, which can disturb it.
 
 pub mod run;
 pub mod scenario;
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario of a fleet over real processes and checks what its members claimed.
+//! Runs a scenario of a fleet with real processes and checks what its members claimed.
 
 mod action;
 mod claims;
@@ -21,7 +21,7 @@
 
 /// How often the reports of members are read.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(200);
-/// How long a member may take to report its address.
+/// How long members may take to report their addresses, and to make their last claims.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The result of a run.
@@ -29,7 +29,7 @@
 pub struct Outcome {
     /// The violations of rules.
     pub breaches: Vec<Breach>,
-    /// Everything that was seen.
+    /// The history that was recorded.
     pub history: History,
     /// The injected faults, with their times since the start.
     pub faults: Vec<InjectedFault>,
@@ -90,7 +90,7 @@
     /// Carries out all actions, each at its time, until the scenario is over.
     async fn run_schedule(&mut self, schedule: Schedule, began: u64) -> Result<(), RunError> {
         let clock = Clock::default();
-        // The fleet first gets time to form.
+        // Before the first action the fleet gets time to form.
         let offset = self.scenario.bounds.convergence / 2;
         let end = offset + self.scenario.duration;
         self.history.disturbances = schedule.disturbances(began + offset, self.scenario.duration);
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    /// Gives the fleet its time to converge, and waits for a claim of each member after that time.
+    /// Gives the fleet its time to converge, and waits up to [`START_TIMEOUT`] for a later claim of each member.
     async fn converge(&mut self) {
         let clock = Clock::default();
         while clock.now() < self.scenario.bounds.convergence {
--- a/crates/pipithub-scenario/src/fleet/run/action.rs
+++ b/crates/pipithub-scenario/src/fleet/run/action.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// One step of a fault. Slots are those of members and, after them, of duplicates. Its `Display` describes it in the
-/// words of tables.
+/// One step of a fault. The slots of members come first, then those of duplicates. The `Display` form of an action is the
+/// description shown in tables.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
     Kill { slot: usize },
@@ -96,7 +96,7 @@
     }
 }
 
-/// The notation of JSON reports and logs.
+/// Formats an action in the notation of JSON reports and logs.
 struct Code<'a>(&'a Action);
 
 impl fmt::Display for Code<'_> {
@@ -184,8 +184,8 @@
         }
     }
 
-    /// The intervals in which links are disturbed, by Unix time. `start` is the time of the first action, and
-    /// `duration` that of the scenario, at whose end all links are restored.
+    /// The intervals in which links are disturbed, in Unix time. `start` is the time from which the times of actions count,
+    /// and `duration` that of the scenario, at whose end all links are restored.
     pub(super) fn disturbances(&self, start: Time, duration: u64) -> Vec<Interval> {
         let begins = self.actions.iter().filter(|begin| begin.action.disturbs());
         begins
@@ -285,7 +285,7 @@
         self.add_change_of_both(scheduled.end(), link, false);
     }
 
-    /// Cuts or restores both directions.
+    /// Cuts or restores both directions of a link.
     fn add_change_of_both(&mut self, at: u64, link: Link, cut: bool) {
         for link in [link, link.reversed()] {
             self.timeline.add(at, Action::Cut { link, cut });
--- a/crates/pipithub-scenario/src/fleet/run/action/tests.rs
+++ b/crates/pipithub-scenario/src/fleet/run/action/tests.rs
@@ -1,4 +1,4 @@
-//! The codes and descriptions of actions in reports.
+//! Tests of the codes and descriptions of actions in reports.
 
 use pipithub_conformance::fleet::Disk;
 
--- a/crates/pipithub-scenario/src/fleet/run/claims.rs
+++ b/crates/pipithub-scenario/src/fleet/run/claims.rs
@@ -7,7 +7,7 @@
 use crate::units::MILLISECOND;
 
 impl Cluster<'_> {
-    /// Adds the newest claim of each running member to the history, and lets relays lead to members that have just
+    /// Adds the newest claim of each running process to the history, and points relays to processes that have just
     /// reported their address.
     pub(super) fn sample_claims(&mut self) {
         for slot in 0..self.slots.len() {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The report of the process that runs in a slot, unless it is paused or has not written one yet.
+    /// The report of the process that runs in a slot; `None` if no process runs there, it is paused, or it has not written a
+    /// report yet.
     fn read_report(&self, slot: usize) -> Option<Report> {
         let data = self.data_folder(slot);
         let slot = &self.slots[slot];
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -26,17 +26,17 @@
 /// The port of all advertised addresses.
 const ADVERTISED_PORT: u16 = 7100;
 
-/// The place of a member's process, or of that of a duplicate.
+/// The place for the processes of a member or of a duplicate, of which one runs at a time.
 pub(super) struct Slot {
     name: String,
     zone: usize,
     /// The address that other members know. Relays receive the datagrams for it, so no process listens there.
     advertise: SocketAddr,
     pub(super) process: Option<Process>,
-    /// The present run, as an index into the history.
+    /// The current run, as an index into [`History::runs`]; `None` while no process runs.
     pub(super) run: Option<usize>,
     pub(super) paused_since: Option<Time>,
-    /// The run has reported its address, so relays lead to it.
+    /// Whether the run has reported its address, so that relays forward to it.
     pub(super) reachable: bool,
 }
 
@@ -84,7 +84,8 @@
         self.faults.since(since)
     }
 
-    /// Ends all processes and returns the history. The ends are not part of the history: what ran until now has none.
+    /// Ends all processes and returns the history. These ends are not part of the history: runs that last until now have no
+    /// end there.
     pub(super) async fn shut_down(mut self) -> History {
         for slot in &mut self.slots {
             if let Some(process) = slot.process.take() {
@@ -164,13 +165,13 @@
         self.point_relays_to(slot, None);
     }
 
-    /// Lets all relays to a slot lead to an address, or nowhere.
+    /// Points all relays to a slot to an address; `None` makes them forward nowhere.
     pub(super) fn point_relays_to(&self, slot: usize, address: Option<SocketAddr>) {
         let incoming = self.relays.iter().filter(|(link, _)| link.to == slot);
         incoming.for_each(|(_, relay)| relay.forward_to(address));
     }
 
-    /// Stops the process of a slot by a signal, or continues it.
+    /// Pauses or resumes the process of a slot by a signal.
     pub(super) fn set_paused(&mut self, slot: usize, paused: bool) {
         let slot = &mut self.slots[slot];
         let Some(id) = slot.process.as_ref().and_then(Process::id) else {
@@ -185,7 +186,7 @@
             Signal::SIGCONT
         };
         if let Ok(id) = i32::try_from(id) {
-            // It fails only for a process that has ended meanwhile.
+            // The signal fails only if the process has ended meanwhile.
             let _ = kill(Pid::from_raw(id), signal);
         }
         let now = wall_ns();
@@ -222,7 +223,7 @@
         self.change_links(|_, conditions| *conditions = LinkConditions::default());
     }
 
-    /// Carries out an action and notes it for the report.
+    /// Carries out an action and records it for the report.
     pub(super) async fn apply(&mut self, action: Action) -> std::io::Result<()> {
         self.faults.record(action.code(), action.to_string());
         match action {
@@ -267,7 +268,7 @@
     fn start_duplicate(&mut self, slot: usize, of: usize) -> std::io::Result<()> {
         let copy = self.data_folder(slot);
         std::fs::create_dir_all(&copy)?;
-        // As if the folder had been copied before the other process started: both count on from the same generation.
+        // The copy is as if made before the other process started, so both processes count up from the same generation.
         if let Some(record) = read_generation(&self.data_folder(of)) {
             write_previous_generation(&copy, record)?;
         }
@@ -308,13 +309,13 @@
     Ok(relays)
 }
 
-/// The generation record of a data folder, if it has a valid one.
+/// The generation record of a data folder; `None` if it has no valid one.
 fn read_generation(data: &Path) -> Option<GenerationRecord> {
     let text = std::fs::read_to_string(data.join(GENERATION_FILE)).ok()?;
     GenerationRecord::decode(&text).ok()
 }
 
-/// Writes the record as it was one generation earlier.
+/// Writes a record with the generation before that of `record`.
 fn write_previous_generation(data: &Path, record: GenerationRecord) -> std::io::Result<()> {
     let generation = record.generation.saturating_sub(1);
     let record = GenerationRecord {
--- a/crates/pipithub-scenario/src/fleet/run/generations.rs
+++ b/crates/pipithub-scenario/src/fleet/run/generations.rs
@@ -1,4 +1,4 @@
-//! Which run used which generation, as seen in the datagrams on the links.
+//! Records which run used which generation, from the datagrams on the links.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,9 +16,9 @@
 
 #[derive(Default)]
 struct State {
-    /// The run that each slot has at present.
+    /// The current run of each slot; `None` before its first run.
     current_runs: Vec<Option<usize>>,
-    /// The run that a boot id was first seen from.
+    /// The run that each boot id was first seen from.
     run_of_boot: BTreeMap<u64, usize>,
     first_seen: BTreeMap<RunGeneration, Time>,
 }
@@ -30,7 +30,7 @@
 }
 
 impl GenerationObserver {
-    /// An observer of a number of slots.
+    /// An observer of this many slots.
     pub(super) fn new(cluster_name: &'static str, slots: usize) -> Self {
         let state = State {
             current_runs: vec![None; slots],
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes that a slot has a new run.
+    /// Records that a slot has a new run.
     pub(super) fn set_run(&self, slot: usize, run: usize) {
         self.lock().current_runs[slot] = Some(run);
     }
@@ -53,7 +53,7 @@
             return;
         };
         let mut state = self.lock();
-        // A datagram that waited in a buffer belongs to the run that chose its boot id, not to the present one.
+        // A datagram that waited in a buffer belongs to the run that chose its boot id, not to the current run of the slot.
         let known = state.run_of_boot.get(&sender.boot_id).copied();
         let Some(run) = known.or(state.current_runs[slot]) else {
             return;
@@ -66,7 +66,7 @@
             .or_insert_with(wall_ns);
     }
 
-    /// Takes everything that was seen.
+    /// Takes the uses of generations recorded so far.
     pub(super) fn take(&self) -> Vec<GenerationUse> {
         std::mem::take(&mut self.lock().first_seen)
             .into_iter()
--- a/crates/pipithub-scenario/src/fleet/scenario.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario.rs
@@ -17,7 +17,7 @@
         /// The disk that it starts from.
         disk: Disk,
     },
-    /// A member is stopped by the operating system and continued.
+    /// A member is paused by a signal and resumed.
     Pause {
         /// The member's number.
         member: usize,
@@ -28,7 +28,7 @@
         from: usize,
         /// The member that receives.
         to: usize,
-        /// The opposite direction is cut too.
+        /// Whether the opposite direction is cut too.
         both: bool,
     },
     /// A link is cut and restored repeatedly, in both directions.
@@ -76,7 +76,7 @@
 pub struct FleetScenario {
     /// The name of the scenario.
     pub name: String,
-    /// Time until all faults end, in nanoseconds; the fleet then has [`Bounds::convergence`] to converge.
+    /// The time until all faults end, in nanoseconds; the fleet then has [`Bounds::convergence`] to converge.
     pub duration: u64,
     /// The number of members.
     pub members: usize,
@@ -90,7 +90,7 @@
     pub probe_wait: u64,
     /// The time that the fleet has to detect failures and to converge.
     pub bounds: Bounds,
-    /// The number of faults that are drawn from the seed, beside those of the file.
+    /// The number of faults that are drawn from the seed, in addition to those of the file.
     pub drawn: usize,
     /// The faults of the file, by time.
     pub faults: Vec<ScheduledFault<FleetFault>>,
--- a/crates/pipithub-scenario/src/fleet/scenario/draw.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario/draw.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Draws one fault. Member, peer and disk are drawn in any case, so that all faults take equal draws for them.
+    /// Draws one fault. Member, peer and disk are drawn for every fault, whether or not its kind has them, so that their
+    /// number of draws is the same for all kinds.
     fn draw_fault(&self, random: &mut SmallRng) -> FleetFault {
         let member = random.random_range(0..self.members);
         let distance = random.random_range(1..self.members);
--- a/crates/pipithub-scenario/src/fleet/scenario/parse.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario/parse.rs
@@ -10,7 +10,7 @@
 use crate::schedule::ScheduledFault;
 use crate::units::{MILLISECOND, SECOND};
 
-/// The node that a scenario of a fleet begins with.
+/// The node that marks the scenario of a fleet and holds its settings.
 const HEAD: &str = "fleet-day";
 /// The properties that faults of any kind may have.
 const FAULT_PROPERTIES: [&str; 12] = [
@@ -24,7 +24,8 @@
         KdlDocument::from_str(text).is_ok_and(|document| document.get(HEAD).is_some())
     }
 
-    /// Parses the text of a scenario file; `file` is its name in errors, and the scenario's if the text has none.
+    /// Parses the text of a scenario file. `file` is the name of the file in errors, and that of the scenario if the text
+    /// gives none.
     ///
     /// Fails, with the position of the first error, if the text is not KDL, or has an unknown node or property, or a
     /// fault of a member or zone that does not exist.
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -14,13 +14,13 @@
 /// The name of that key in the settings.
 pub const SIGNING_KEY_ID: &str = "desk";
 
-/// Separates the draws of migrations from all other draws of a seed.
+/// Makes the random numbers for migrations independent of the others of a seed.
 const MIGRATION_STREAM: u64 = 0x6d6f_7665;
-/// Separates the draws of users from all other draws of a seed.
+/// Makes the random numbers for users independent of the others of a seed.
 const USER_STREAM: u64 = 0x7573_6572;
-/// How often a user of the selected tenant is drawn before user 0 is used instead.
+/// How many users are drawn to find one of the selected tenant; if none is found, user 0 is taken.
 const USER_DRAWS: usize = 64;
-/// Concurrency of a replica of each function.
+/// The number of requests that a replica of any function can run at once.
 const REPLICA_CONCURRENCY: u32 = 4;
 
 /// The migration of a user to the other tenant. Migrations are ordered by time, as the fields are.
@@ -89,9 +89,9 @@
     migrations: Peekable<std::vec::IntoIter<Migration>>,
     /// The present tenant of each user.
     tenant_of: Vec<usize>,
-    /// The popularity of each function: a few draw a large part of all requests.
+    /// The popularity of each function: a few functions get a large part of all requests.
     function_weights: Vec<f64>,
-    /// The time of the last request.
+    /// The time of the last request, in nanoseconds from the start.
     at: f64,
     /// Requests drawn so far.
     count: usize,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// By which factor the second tenant exceeds its usual load at present; 1 without a surge.
+    /// The factor by which the load of the second tenant is multiplied at present; 1 without a surge.
     fn surge(&self) -> f64 {
         let active =
             self.scenario.faults.iter().filter(|scheduled| {
@@ -172,7 +172,7 @@
 
     /// Draws the user of a request; returns the tenant whose function is requested, and the signature.
     fn draw_user(&mut self, tenants: &TenantSpec, surge: f64) -> (usize, Signed) {
-        // Without a surge half of the requests are those of the second tenant.
+        // Without a surge, half of the requests are from users of the second tenant.
         let wanted = usize::from(self.user_random.unit() < surge / (1.0 + surge));
         let user = (0..USER_DRAWS)
             .map(|_| self.user_random.below(tenants.users))
@@ -216,7 +216,7 @@
             signed = Some(signature);
         }
         let budget_ms = short_timeout.then(|| 5 + self.random.below(60) as u64);
-        // Half to one and a half times the mean of the class.
+        // The run time is half to one and a half times the mean of the class.
         let work_ms = milliseconds(class.work) * (0.5 + self.random.unit());
         Publish {
             id: format!("{}-{number}", self.seed),
@@ -254,7 +254,8 @@
     }
 }
 
-/// The index whose weight covers a number drawn from 0 to the sum of all weights.
+/// The index of the weight that a number between 0 and the sum of all weights falls on; `None` if the number is not below
+/// the sum.
 fn pick_by_weight(mut weights: impl Iterator<Item = f64>, drawn: f64) -> Option<usize> {
     let mut rest = drawn;
     weights.position(|weight| {
--- a/crates/pipithub-scenario/src/outage.rs
+++ b/crates/pipithub-scenario/src/outage.rs
@@ -1,8 +1,9 @@
-//! Outages of discovery beside drains, restarts and faulty workers, with real `pipithub node` processes on loopback.
+//! Outages of discovery together with drains, restarts and faulty workers, with real `pipithub node` processes on
+//! loopback.
 //!
-//! A [`Plan`] states the processes, the load and each step with its time; [`Plan::draw`] draws one from a seed. [`run()`] plays
-//! the coordinator, the workers and the clients, carries out the steps, and records what each of them saw. [`check()`] judges
-//! these records alone, by the rules of request handling and the platform's clocks.
+//! A [`Plan`] states the processes, the load and each step with its time; [`Plan::draw`] draws one from a seed. [`run()`]
+//! emulates the coordinator, the workers and the clients, executes the steps, and records what each of them saw.
+//! [`check()`] checks these records alone against the rules of request handling and the platform's time limits.
 
 mod checks;
 mod client;
--- a/crates/pipithub-scenario/src/outage/checks.rs
+++ b/crates/pipithub-scenario/src/outage/checks.rs
@@ -1,7 +1,7 @@
-//! Judges a history by the rules of request handling.
+//! Checks a history against the rules of request handling.
 //!
-//! Nothing but the history is read. A change of the endpoint list counts as notified by the platform's clocks, whether or not
-//! the front end could be reached; see [`notified_at`].
+//! Only the history and the plan are read. When a front end counts as notified of a change of the endpoint list follows
+//! from the platform's time limits, whether or not the front end could reach discovery; see [`notified_at`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,61 +12,62 @@
 use super::node::{INITIAL_WEIGHT, OVERLOAD_FACTOR, OVERLOAD_WINDOW};
 use super::plan::{EndpointState, Plan};
 
-/// A front end that lost its stream may take this long to connect again once discovery is back; the clock of the outage runs on.
+/// A front end that lost its stream may take this long to connect again once discovery is back. A change within this time
+/// is treated as one within the outage.
 const RECONNECT_TIME: Duration = Duration::from_millis(1_500);
-/// An answer that comes later than this after its client's time has been lost.
+/// An answer that comes later than this after its client's timeout counts as missing.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// A call that crosses the close of its connection is sent once more by its client.
+/// A call whose connection is closed within this time after it was sent is not lost: its client sends it again.
 const CLOSE_RACE_GRACE: Duration = Duration::from_millis(50);
-/// A front end that was terminated need not answer calls that come later than this after the signal, if it ends.
+/// A front end that was terminated need not answer calls that are sent later than this after SIGTERM, if it ends.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(700);
 
 /// A rule of request handling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer to each call, in time.
+    /// Each call has exactly one final answer, in time.
     FinalAnswer,
-    /// No call that must not be repeated runs twice.
+    /// A call that must not be repeated runs at most once.
     EffectOnce,
-    /// Draining and removed workers get no new call after the notified time and the grace.
+    /// Draining and removed workers get no new call after the time of notification and the drain grace.
     DrainedCall,
-    /// The same for commands to load.
+    /// Draining and removed workers get no load command after the time of notification and the drain grace.
     DrainedLoadCommand,
-    /// A worker that warms up is not overloaded by front ends that were notified of its start.
+    /// A worker in slow start is not overloaded by front ends that were notified of its start.
     SlowStart,
 }
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule that was broken.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// The time at which it was broken.
+    /// The time at which it was violated.
     pub at: Instant,
-    /// A description of what was seen, for reports.
+    /// A description of the violation, for reports.
     pub what: String,
 }
 
-/// What a history shows.
+/// The result of the checks of a history.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// All violations, by rule and time.
     pub breaches: Vec<Breach>,
-    /// Calls that clients sent.
+    /// The number of calls that clients sent.
     pub calls: usize,
-    /// Calls that were served in time.
+    /// The number of calls that were served in time.
     pub served: usize,
-    /// Health checks that workers got.
+    /// The number of health checks and load polls that workers got.
     pub health_checks: usize,
 }
 
 impl Verdict {
-    /// The share of calls that were served in time.
+    /// The share of calls that were served in time, from 0 to 1.
     pub fn served_ratio(&self) -> f64 {
         self.served as f64 / self.calls.max(1) as f64
     }
 
-    /// How often a rule was broken.
+    /// How often a rule was violated.
     pub fn count(&self, rule: Rule) -> usize {
         self.breaches
             .iter()
@@ -75,7 +76,7 @@
     }
 }
 
-/// Checks all rules. `slack` is added to every limit of time, for the way to the workers and what the machine takes.
+/// Checks all rules. `slack` is added to the time limits, to allow for the time in transit and for delays of the machine.
 pub fn check(plan: &Plan, history: &History, slack: Duration) -> Verdict {
     let mut breaches = Vec::new();
     check_drains(plan, history, slack, &mut breaches);
@@ -96,8 +97,9 @@
     matches!(call.end, ClientEnd::Answered { at, kind: AnswerKind::Served } if at <= call.sent + call.timeout)
 }
 
-/// When a front end counts as notified of a change. That is when discovery had it, or its own start if that was later; and
-/// where discovery was out of reach, at the latest a fixed time after that began.
+/// When a front end counts as notified of a change: when discovery published the change or, if the change falls into an
+/// outage of that front end, [`notification_delay`](super::OutageRecord::notification_delay) after the outage began if
+/// that is later. Outages that began before the last start of the front end do not count.
 fn notified_at(history: &History, node: usize, change: &EndpointChange) -> Instant {
     let started = history
         .nodes
@@ -111,7 +113,7 @@
         .outages
         .iter()
         .filter(|outage| outage.node == node)
-        // A process that started within an outage has the list of its start.
+        // A process that was started within an outage has the list of that time in its configuration.
         .filter(|outage| outage.begin >= started)
         .filter(|outage| {
             let end = outage.end.unwrap_or(Instant::MAX);
@@ -121,14 +123,14 @@
         .fold(change.at, Instant::max)
 }
 
-/// A time in which a worker must get nothing new from a front end.
+/// An interval in which a worker must get no new work from a front end.
 struct ClosedInterval {
     from: Instant,
-    /// When the worker is in service again, by the list that discovery had.
+    /// When the worker is in service again according to discovery; [`Instant::MAX`] if that does not happen.
     until: Instant,
 }
 
-/// The times in which a worker is closed for a front end.
+/// The intervals in which a worker must get no new work from a front end.
 fn closed_intervals(
     plan: &Plan,
     history: &History,
@@ -223,7 +225,7 @@
     }
 }
 
-/// Whether a call whose connection ended without an answer was lost by its front end.
+/// Whether a front end is at fault for a call whose connection ended without an answer.
 fn is_lost_at_close(
     history: &History,
     call: &CallRecord,
@@ -248,17 +250,19 @@
         return closed > call.sent + CLOSE_RACE_GRACE + slack;
     };
     match terminated.filter(|terminated| *terminated < killed) {
-        // Killed without notice: whatever it had is void.
+        // A front end that is killed without SIGTERM owes no answers to the calls that it had at that time.
         None => closed + slack < killed,
-        // It may end once it has answered what came in time; what crosses its end is sent again.
+        // After SIGTERM a front end may end once it has answered the calls that came in time. A call whose connection is
+        // closed just after it was sent is sent again by its client.
         Some(terminated) => {
             call.sent <= terminated + ARRIVAL_GRACE && closed > call.sent + CLOSE_RACE_GRACE + slack
         }
     }
 }
 
-/// The most calls that a warming worker may be sent within the overload window, `age` after its start. `served` is what a warm
-/// worker gets within such a window: its capacity is taken to be as much again.
+/// The maximum number of calls that a worker in slow start may be sent within the overload window, `age` after its start.
+/// `served` is the mean number of calls of a worker within such a window; the capacity of a warm worker is assumed to be
+/// twice that number. Two or three standard deviations and as many calls are added for random fluctuation.
 fn warming_budget(served: f64, age: Duration, slow_start: Duration) -> f64 {
     let warmth = (age.as_secs_f64() / slow_start.as_secs_f64()).min(1.0);
     let capacity = 2.0 * served * (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * warmth);
--- a/crates/pipithub-scenario/src/outage/client.rs
+++ b/crates/pipithub-scenario/src/outage/client.rs
@@ -1,6 +1,6 @@
 //! Clients that keep a few connections to one front end and send calls at a steady rate.
 //!
-//! They go on to use open connections until these end, also while the front end shuts down.
+//! Clients use an open connection until it ends, also while the front end shuts down.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,21 +19,24 @@
 use super::worker::UNSAFE_CLASS;
 use crate::random::SplitMix64;
 
+/// The number of connections to each front end.
 const CONNECTIONS: u64 = 4;
-/// The platform's bound of open requests on one connection.
+/// The platform's limit on unanswered calls on one connection.
 const MAX_PENDING_CALLS: usize = 32;
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
+/// The error code of answers that reject a call.
 const REJECTED_CODE: i64 = -32050;
+/// The body of all calls, in base64; workers return it.
 const BODY: &str = "aGVsbG8=";
-/// One call of this many is of the class that must not run twice.
+/// One call in this many, on average, is of the class that must not run twice.
 const UNSAFE_EVERY: usize = 4;
 
-/// What all clients of a run share.
+/// The load of a run, which all its clients share.
 #[derive(Debug)]
 pub(super) struct Load {
     pub(super) rates: Rates,
     pub(super) timeout: Duration,
-    /// The present load, in percent of the planned one.
+    /// The current load, in percent of the planned one.
     pub(super) percent: AtomicU32,
     pub(super) ended: AtomicBool,
 }
@@ -48,8 +51,8 @@
 }
 
 impl Clients {
-    /// Starts the clients of a front end; they connect as soon as it listens. Each task ends once the load has ended and
-    /// its connection is closed, and has recorded its calls by then.
+    /// Starts the clients of a front end, which connect as soon as it listens. Each task ends once the load has ended and
+    /// its connection is closed; it has recorded its calls by then.
     pub(super) fn start(
         node: usize,
         address: SocketAddr,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Sends calls on a connection until it ends.
+    /// Sends calls on a connection until it ends, and records them.
     async fn use_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The time to the next call of a connection.
+    /// Draws the time to the next call of a connection: half to one and a half times the mean.
     fn next_gap(&self) -> Duration {
         let percent = f64::from(self.load.percent.load(Relaxed));
         let rate = f64::from(self.load.rates.calls) * percent / 100.0 / CONNECTIONS as f64;
@@ -129,7 +132,7 @@
     fn next_call(&self, id: u64) -> (CallRecord, String) {
         let mut random = self.random();
         let call = format!("{:016x}", random.next_u64());
-        // The square makes the first functions the most popular.
+        // The square of the draw makes the first functions the most popular.
         let function = (random.unit().powi(2) * self.load.rates.functions as f64) as usize;
         let class = if random.below(UNSAFE_EVERY) == 0 {
             UNSAFE_CLASS
@@ -172,7 +175,7 @@
     }
 }
 
-/// The calls of one connection, by their ids.
+/// The calls of one connection, by the ids of their requests.
 #[derive(Debug, Default)]
 struct Connection {
     pending_calls: Mutex<BTreeMap<u64, CallRecord>>,
--- a/crates/pipithub-scenario/src/outage/discovery.rs
+++ b/crates/pipithub-scenario/src/outage/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as the front ends see it: each of them reaches it at addresses of its own, where it can be out of reach.
+//! Emulates discovery. Each front end reaches it at addresses of its own, so it can be out of reach for single front ends.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,7 +16,7 @@
     b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 const COMMENT: &[u8] = b":\n\n";
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an address that front ends have moved from keeps its open streams.
+/// How long an address keeps its open streams after its front end was given another one.
 const CLOSE_AFTER_MIGRATION: Duration = Duration::from_millis(1_500);
 
 /// How an address of discovery behaves.
@@ -24,11 +24,12 @@
 enum Mode {
     Reachable,
     Outage(OutageKind),
-    /// The front end was given another address: this one sends nothing new, and its streams end soon.
+    /// The front end was given another address. This one sends nothing new, refuses connections, and ends its streams
+    /// after [`CLOSE_AFTER_MIGRATION`].
     Retired,
 }
 
-/// The list of workers, as a growing sequence of events.
+/// The list of workers, as a growing sequence of events with the indexes 1, 2 and so on.
 #[derive(Debug)]
 pub(super) struct EndpointList {
     events: watch::Sender<Vec<Value>>,
@@ -36,7 +37,7 @@
 }
 
 impl EndpointList {
-    /// A list of these workers, all of which are in its first event.
+    /// A list of these workers, which are all in the first event.
     pub(super) fn new(hosts: Vec<Value>) -> Arc<Self> {
         let first = event(1, true, &hosts);
         Arc::new(EndpointList {
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Changes workers and publishes the change.
+    /// Calls `change` for each of these workers, and publishes the changed workers as one event.
     pub(super) fn change(&self, workers: &[usize], change: impl Fn(&mut Value)) {
         let mut hosts = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
         for worker in workers {
@@ -61,8 +62,8 @@
         });
     }
 
-    /// The part of a configuration that holds the list at a start: one event with all workers, under the index of the last
-    /// change.
+    /// The endpoint list in the configuration of a front end at its start: one event with all workers that are not deleted,
+    /// under the index of the last change.
     pub(super) fn known(&self) -> Value {
         let hosts = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
         let present: Vec<Value> = hosts
@@ -86,7 +87,7 @@
 }
 
 impl DiscoveryAddress {
-    /// Listens at this address.
+    /// Listens at this address and serves the list there. Fails if the address is not free.
     pub(super) async fn start(
         address: SocketAddr,
         list: Arc<EndpointList>,
@@ -98,17 +99,17 @@
         Ok(DiscoveryAddress { address, mode })
     }
 
-    /// Makes the address unreachable or silent.
+    /// Begins an outage at this address.
     pub(super) fn begin_outage(&self, kind: OutageKind) {
         self.mode.send_replace(Mode::Outage(kind));
     }
 
-    /// Makes the address serve the list again.
+    /// Ends an outage, so that the address serves the list again.
     pub(super) fn end_outage(&self) {
         self.mode.send_replace(Mode::Reachable);
     }
 
-    /// Sends nothing more to its front end, which was given another address.
+    /// Stops serving the list, because the front end was given another address.
     pub(super) fn retire(&self) {
         self.mode.send_replace(Mode::Retired);
     }
@@ -118,7 +119,7 @@
     matches!(mode, Mode::Outage(OutageKind::Refused) | Mode::Retired)
 }
 
-/// Accepts connections as long as the mode allows it.
+/// Accepts connections while the mode allows them, and serves each in a task of its own.
 async fn serve_address(
     mut listener: ReopenableListener,
     mut mode: watch::Receiver<Mode>,
@@ -136,7 +137,7 @@
     }
 }
 
-/// Serves one connection until its front end or the mode ends it.
+/// Serves one connection until the front end closes it or the mode changes.
 async fn serve_stream(
     mut stream: TcpStream,
     mut mode: watch::Receiver<Mode>,
@@ -178,7 +179,7 @@
     }
 }
 
-/// Sends the events after the last one that was sent; returns whether the stream is still open.
+/// Sends the events after the index `sent` and raises it; returns whether the stream is still open.
 async fn send_events(
     stream: &mut TcpStream,
     events: &mut watch::Receiver<Vec<Value>>,
@@ -203,7 +204,7 @@
     format!("id: {}\ndata: {event}\n\n", event["index"])
 }
 
-/// Ends an open stream as the new mode says.
+/// Ends an open stream in the way of the new mode.
 async fn end_stream(
     mut stream: TcpStream,
     mode: watch::Receiver<Mode>,
@@ -235,7 +236,8 @@
     }
 }
 
-/// The last event that the front end has, as its request says; `None` if the request does not come.
+/// Reads a request and returns the index of the last event that the front end has; `None` if the request is incomplete or
+/// has no valid `Last-Event-ID`.
 async fn read_request(stream: &mut TcpStream) -> Option<u64> {
     const MAX_REQUEST_BYTES: usize = 4096;
     let mut request = Vec::new();
--- a/crates/pipithub-scenario/src/outage/draw.rs
+++ b/crates/pipithub-scenario/src/outage/draw.rs
@@ -1,4 +1,4 @@
-//! Draws plans from seeds.
+//! Draws random plans from seeds.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 const NODES: [usize; 12] = [1, 2, 3, 3, 3, 4, 5, 6, 8, 12, 20, 30];
 const DRAIN_GRACES_MS: [u64; 4] = [500, 1_000, 1_000, 2_000];
 const CLIENT_TIMEOUTS_MS: [u64; 4] = [600, 900, 1_000, 1_500];
-/// Calls of all front ends each second, at the most.
+/// The maximum number of calls of all front ends in a second. Each front end gets an equal part, but 15 to 80.
 const MAX_CALLS_PER_SECOND: usize = 600;
 const DURATION_MS: u64 = 17_000;
 const SHORT_DURATION_MS: u64 = 12_000;
-/// At most this part of the workers drain, end, hang or are reset, so that those left can carry the load.
+/// The maximum part of the workers that drain, end, hang or are reset, so that the others can carry the load.
 const MAX_AFFECTED_SHARE: f64 = 0.6;
 
 impl Plan {
-    /// Draws a plan; equal seeds give equal plans. `is_short`: for a run in CI.
+    /// Draws a plan. Equal seeds give equal plans. A plan that `is_short` has a shorter load and fewer front ends, for CI.
     #[must_use]
     pub fn draw(seed: u64, is_short: bool) -> Plan {
         Draw::new(seed, is_short).plan()
@@ -30,9 +30,9 @@
     duration_ms: u64,
     nodes: usize,
     workers: usize,
-    /// Workers that no step affects yet.
+    /// Workers that no step has affected so far.
     unaffected: Vec<usize>,
-    /// Front ends that are neither restarted nor moved.
+    /// Front ends that are neither restarted nor given another address of discovery so far.
     undisturbed: Vec<usize>,
     steps: Vec<TimedStep>,
 }
@@ -127,7 +127,7 @@
         choices[self.random.below(choices.len())]
     }
 
-    /// An outage of all front ends or of half of them, in one piece or with moments in between.
+    /// Adds an outage for all front ends or half of them, either in one piece or in three with gaps of 300 ms.
     fn add_outage(&mut self, begin: u64, end: u64) {
         let all: Vec<usize> = (0..self.nodes).collect();
         let nodes = if self.one_in(4) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Up to this many workers that no other step affects.
+    /// Takes up to this many workers that no other step affects; fewer or none if [`MAX_AFFECTED_SHARE`] is reached.
     fn take_workers(&mut self, count: usize) -> Vec<usize> {
         let reserved = (self.workers as f64 * (1.0 - MAX_AFFECTED_SHARE)).ceil() as usize;
         let available = self.unaffected.len().saturating_sub(reserved);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A worker ends without a drain and returns.
+    /// Adds a worker that ends without a drain and is started again.
     fn add_crash(&mut self, begin: u64, end: u64) {
         let worker = self.take_workers(1);
         let at = self.between(begin, end - 2_000);
@@ -205,7 +205,8 @@
         self.add(back, Step::Resume(worker));
     }
 
-    /// Up to half of the front ends that nothing else disturbs.
+    /// Takes half of the front ends that no other step restarts or gives another address of discovery, but at least one if
+    /// there are any.
     fn take_nodes(&mut self) -> Vec<usize> {
         let count = (self.undisturbed.len() / 2)
             .max(1)
@@ -223,7 +224,7 @@
         }
     }
 
-    /// SIGHUPs in series: to an address that refuses connections, and back.
+    /// Adds a series of SIGHUPs that lead to an address that refuses connections, and back.
     fn add_migrations(&mut self, begin: u64, end: u64) {
         let nodes = self.take_nodes();
         let mut at = self.between(begin.saturating_sub(500), begin + 1_000);
@@ -235,7 +236,7 @@
             reachable = !reachable;
         }
         if reachable {
-            // It ends at an address that can be reached.
+            // The last address can be reached.
             self.add(at, Step::MigrateDiscovery { nodes, reachable });
         }
     }
--- a/crates/pipithub-scenario/src/outage/history.rs
+++ b/crates/pipithub-scenario/src/outage/history.rs
@@ -1,17 +1,17 @@
-//! What the coordinator, the workers and the clients saw.
+//! The history of a run: what the coordinator, the workers and the clients saw.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
 use super::plan::{EndpointState, OutageKind};
 
-/// A point in time, counted from the begin of the run.
+/// A point in time, as the time since the start of the run.
 pub type Instant = Duration;
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// When discovery had it.
+    /// When discovery published the change.
     pub at: Instant,
     /// The index of the worker that changed.
     pub worker: usize,
@@ -24,15 +24,15 @@
 pub struct OutageRecord {
     /// The index of the front end that could not reach discovery.
     pub node: usize,
-    /// The time of the last moment at which discovery could be reached.
+    /// When the outage began.
     pub begin: Instant,
-    /// When discovery could be reached again; `None` if that never was.
+    /// When discovery could be reached again; `None` if the outage did not end.
     pub end: Option<Instant>,
-    /// After which time a change counts as notified.
+    /// The time since `begin` after which the front end counts as notified of a change.
     pub notification_delay: Duration,
 }
 
-/// What a worker was sent.
+/// The kinds of work that a worker is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkKind {
     /// A request to run a call.
@@ -46,26 +46,26 @@
 /// Work that has arrived at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedWork {
-    /// When its line had arrived.
+    /// When the worker had read the line of the request.
     pub at: Instant,
-    /// The front end that sent it.
+    /// The index of the front end that sent it.
     pub node: usize,
     /// The index of the worker that received it.
     pub worker: usize,
-    /// The kind of request that the line was.
+    /// The kind of work.
     pub kind: WorkKind,
 }
 
 /// The execution of a call by a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
-    /// The time at which the worker began to run it.
+    /// The time at which the worker began to run the call.
     pub at: Instant,
-    /// The index of the worker that ran it.
+    /// The index of the worker that ran the call.
     pub worker: usize,
     /// The name of the call.
     pub call: String,
-    /// Whether it must not run twice.
+    /// Whether the call must not run twice.
     pub unsafe_to_repeat: bool,
 }
 
@@ -74,18 +74,18 @@
 pub struct WorkerStart {
     /// The time from which the new process accepts connections.
     pub at: Instant,
-    /// The index of the worker whose place it takes.
+    /// The index of the worker that the process belongs to.
     pub worker: usize,
 }
 
 /// A start, a signal or the end of a front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// The process was started, with the list of that time in its configuration.
+    /// The process was started, with the current endpoint list in its configuration.
     Started,
-    /// SIGTERM was sent to its process.
+    /// SIGTERM was sent to the process.
     Terminated,
-    /// It was killed, or had ended by then.
+    /// The process was killed, or had already ended.
     Killed,
 }
 
@@ -105,7 +105,7 @@
 pub enum AnswerKind {
     /// The call was served with the body that its worker gave.
     Served,
-    /// The call was rejected: a retry is harmless.
+    /// The call was rejected, so it did not run and may be retried.
     Rejected,
     /// The call failed and may have run.
     Failed,
@@ -114,51 +114,51 @@
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEnd {
-    /// It got an answer.
+    /// The client got an answer.
     Answered {
         /// The time at which the answer was read.
         at: Instant,
         /// The kind of answer.
         kind: AnswerKind,
     },
-    /// Its connection ended without an answer.
+    /// The connection ended without an answer.
     Closed {
         /// The time at which the end of the connection was read.
         at: Instant,
     },
-    /// Nothing came until the end of the run.
+    /// The call has no answer yet, and its connection is open.
     Pending,
 }
 
 /// A call of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// The front end that it was sent to.
+    /// The index of the front end that the call was sent to.
     pub node: usize,
-    /// The name of the call, which no other call has.
+    /// The name of the call, which is unique within a run.
     pub call: String,
-    /// When its last byte was written.
+    /// When the client began to write the call.
     pub sent: Instant,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub timeout: Duration,
-    /// Answers beyond the first one.
+    /// The number of answers after the first one.
     pub further_answers: u32,
     /// How the call ended for its client.
     pub end: ClientEnd,
 }
 
-/// All that was seen in a run.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Changes of the list, by time.
+    /// Changes of the endpoint list, by time.
     pub changes: Vec<EndpointChange>,
     /// The times in which front ends could not reach discovery.
     pub outages: Vec<OutageRecord>,
-    /// Work that arrived at workers, by time for each worker.
+    /// Work that arrived at workers.
     pub work: Vec<ReceivedWork>,
-    /// Calls that workers ran, by time for each worker.
+    /// Calls that workers ran.
     pub executions: Vec<Execution>,
-    /// Starts of worker processes after the first.
+    /// Starts of worker processes, except the first process of each worker.
     pub worker_starts: Vec<WorkerStart>,
     /// Starts and ends of front ends.
     pub nodes: Vec<NodeRecord>,
@@ -166,7 +166,7 @@
     pub calls: Vec<CallRecord>,
 }
 
-/// A history that several tasks write.
+/// A history that several tasks write to.
 #[derive(Debug)]
 pub(super) struct Recorder {
     start: std::time::Instant,
@@ -181,17 +181,17 @@
         }
     }
 
-    /// The time since the begin of the run.
+    /// The time since the start of the run.
     pub(super) fn now(&self) -> Instant {
         self.start.elapsed()
     }
 
-    /// Lets `write` add to the history.
+    /// Calls `write` to add to the history.
     pub(super) fn record(&self, write: impl FnOnce(&mut History)) {
         write(&mut self.history.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Takes out all that was recorded so far.
+    /// Takes the history recorded so far, and leaves an empty one.
     pub(super) fn take(&self) -> History {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut history)
@@ -202,7 +202,7 @@
         self.begin_outage_for(node, kind.notification_delay());
     }
 
-    /// Records that discovery gets out of reach and that changes count as notified after this time.
+    /// Records that discovery gets out of reach of a front end, which counts as notified of changes after this time.
     pub(super) fn begin_outage_for(&self, node: usize, notification_delay: Duration) {
         let begin = self.now();
         self.record(|history| {
@@ -215,7 +215,7 @@
         });
     }
 
-    /// Records that discovery can be reached again.
+    /// Records that a front end can reach discovery again.
     pub(super) fn end_outage(&self, node: usize) {
         let end = self.now();
         self.record(|history| {
--- a/crates/pipithub-scenario/src/outage/node.rs
+++ b/crates/pipithub-scenario/src/outage/node.rs
@@ -1,4 +1,4 @@
-//! Front ends as processes: their configuration, their starts, and the signals to them.
+//! The processes of front ends: their configuration, their starts, and the signals that they get.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,18 +16,18 @@
 use super::plan::{OutageKind, Settings};
 use super::worker::UNSAFE_CLASS;
 
-/// After SIGHUP, changes count as notified after this time at the latest.
+/// How long after SIGHUP a front end counts as notified of changes at the latest.
 const MIGRATION_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
-/// A kill follows SIGTERM after the longest client timeout, counted as this if it is shorter, and [`KILL_MARGIN`].
+/// After SIGTERM a front end gets the client timeout, but at least this time, and [`KILL_MARGIN`] before it is killed.
 const MIN_KILL_DELAY: Duration = Duration::from_secs(3);
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The figures of slow start in the front ends' settings: the capacity of a worker at its start as a part of that of a warm one,
-/// and by which factor and for how long it must be overloaded to fail.
+/// The parameters of slow start in the front ends' settings: the capacity of a worker at its start as a part of that of a
+/// warm one, and by which factor and for how long it must be overloaded to fail.
 pub(super) const INITIAL_WEIGHT: f64 = 0.2;
 pub(super) const OVERLOAD_FACTOR: f64 = 3.0;
 pub(super) const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
-/// The parts of a configuration that stay the same over restarts.
+/// The parts of a front end's configuration that stay the same over restarts.
 #[derive(Clone, Debug)]
 pub(super) struct NodeSetup {
     pub(super) index: usize,
@@ -38,13 +38,13 @@
     pub(super) folder: PathBuf,
 }
 
-/// One front end, over all its processes.
+/// One front end and its current process. A front end gets a new process at each restart.
 pub(super) struct Node {
     setup: NodeSetup,
-    /// The addresses of discovery that its configuration may name. `unreachable` refuses connections.
+    /// The addresses of discovery that the configuration may name, beside `unreachable`, which refuses connections.
     discovery: Vec<DiscoveryAddress>,
     unreachable: SocketAddr,
-    /// The index of the address in its configuration; `None` for the unreachable one.
+    /// The index of the address in the configuration; `None` for the unreachable one.
     current: Option<usize>,
     outage: Option<OutageKind>,
     list: Arc<EndpointList>,
@@ -86,7 +86,8 @@
             .join(format!("node-{}.log", self.setup.index))
     }
 
-    /// Writes the configuration with the present list. The file is replaced atomically, so no reader sees a part of it.
+    /// Writes the configuration with the current endpoint list. The file is replaced atomically, so no reader sees a part
+    /// of it.
     fn write_config(&self) -> std::io::Result<()> {
         let coordinator = match self.current {
             Some(current) => self.discovery[current].address,
@@ -98,7 +99,7 @@
         std::fs::rename(&written, self.config_path())
     }
 
-    /// Starts its process with the present endpoint list in its configuration.
+    /// Starts a process with the current endpoint list in its configuration.
     pub(super) fn start(&mut self) -> std::io::Result<()> {
         self.starts += 1;
         self.recorder
@@ -112,7 +113,7 @@
         Ok(())
     }
 
-    /// Begins or ends an outage at all its addresses of discovery.
+    /// Begins an outage of discovery for this front end; `None` ends it.
     pub(super) fn set_outage(&mut self, outage: Option<OutageKind>) {
         let index = self.setup.index;
         self.outage = outage;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Gives it a configuration with another address of discovery, and SIGHUP.
+    /// Writes a configuration with another address of discovery, and sends SIGHUP to the process.
     pub(super) fn migrate_discovery(&mut self, reachable: bool) -> std::io::Result<()> {
         let left = self.current;
         self.current = reachable.then(|| left.map_or(0, |left| (left + 1) % self.discovery.len()));
@@ -140,7 +141,7 @@
             self.apply_outage(current);
         }
         let index = self.setup.index;
-        // The time within which it has to follow the new address.
+        // The front end has this time to connect to the new address.
         self.recorder
             .begin_outage_for(index, MIGRATION_NOTIFICATION_DELAY);
         self.write_config()?;
@@ -154,7 +155,7 @@
         Ok(())
     }
 
-    /// Sends SIGTERM; returns after which time it may be killed.
+    /// Sends SIGTERM to the process, and returns the time after which it may be killed.
     pub(super) fn terminate(&self) -> Duration {
         self.recorder
             .node_event(self.setup.index, NodeEvent::Terminated);
@@ -167,7 +168,7 @@
         self.recorder
             .node_event(self.setup.index, NodeEvent::Killed);
         if let Some(mut process) = self.process.take() {
-            // It fails only if the process has ended.
+            // Killing fails only if the process has ended.
             let _ = process.kill().await;
         }
     }
@@ -182,7 +183,7 @@
     fn signal(&self, signal: Signal) {
         let id = self.process.as_ref().and_then(Child::id);
         if let Some(id) = id {
-            // It fails only if the process has ended.
+            // The signal fails only if the process has ended.
             let _ = kill(Pid::from_raw(id as i32), signal);
         }
     }
--- a/crates/pipithub-scenario/src/outage/plan.rs
+++ b/crates/pipithub-scenario/src/outage/plan.rs
@@ -1,4 +1,4 @@
-//! What is played: processes, load, and the steps with their times.
+//! The plan of a run: its processes, its load, and the steps with their times.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 pub enum OutageKind {
     /// Streams end, and connections are refused.
     Refused,
-    /// Connections are accepted and requests never answered; open streams fall silent.
+    /// Connections are accepted and requests never answered; nothing more is sent on open streams.
     Unanswered,
-    /// Requests get the head of a response and nothing more; open streams fall silent.
+    /// Requests get the head of a response and nothing more; nothing more is sent on open streams.
     HeadOnly,
     /// Streams stop in the middle of an event and stay open.
     HalfEvent,
@@ -24,8 +24,9 @@
         OutageKind::HalfEvent,
     ];
 
-    /// After which time a change of the list counts as notified although discovery is out of reach: the platform counts 2 s
-    /// from a break and 4 s from the moment at which a stream that stays open has stopped.
+    /// How long after the begin of an outage front ends count as notified of a change of the list, although discovery is
+    /// out of reach: the platform counts 2 s from the end of a stream, and 4 s if the stream stays open and nothing more
+    /// is sent on it.
     pub fn notification_delay(self) -> Duration {
         match self {
             OutageKind::Refused => Duration::from_secs(2),
@@ -39,46 +40,46 @@
 /// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may be sent work.
+    /// The worker may be sent work.
     Serving,
-    /// It finishes its work and must get no new one.
+    /// The worker finishes its work and must get no new work.
     Draining,
-    /// It was removed and must get no new work.
+    /// The worker was removed and must get no new work.
     Deleted,
 }
 
-/// One step of a plan. Workers and front ends are named by their indexes.
+/// One step of a plan. Workers and front ends are given by their indexes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Discovery gets out of reach for these front ends.
     BeginOutage {
-        /// The indexes of the front ends that lose it.
+        /// The indexes of the front ends that lose discovery.
         nodes: Vec<usize>,
-        /// How it gets out of reach.
+        /// How discovery gets out of reach.
         kind: OutageKind,
     },
     /// Discovery is in reach again for these front ends.
     EndOutage {
-        /// The indexes of the front ends that reach it.
+        /// The indexes of the front ends that reach discovery again.
         nodes: Vec<usize>,
     },
-    /// Workers begin to drain: they finish what they have and go on to serve for a moment, then turn calls away.
+    /// Workers begin to drain: they finish the calls that they have, serve new ones for up to 0.9 s, and then reject them.
     Drain(Vec<usize>),
     /// Workers that drain are in service again.
     Undrain(Vec<usize>),
-    /// Worker processes end: their connections are reset, new ones refused; the list names them as gone.
+    /// Worker processes end: their connections are reset, new ones are refused, and the list gives them as deleted.
     End(Vec<usize>),
     /// New worker processes start at the same addresses, without any function loaded.
     Start(Vec<usize>),
-    /// Workers stop to read and to answer; their connections stay open.
+    /// Workers stop answering; their connections stay open.
     Hang(Vec<usize>),
-    /// Workers that hang go on.
+    /// Workers that hang answer again.
     Resume(Vec<usize>),
     /// All connections to these workers are reset.
     Reset(Vec<usize>),
-    /// Front ends get a configuration that names another address of discovery, and SIGHUP.
+    /// Front ends get a configuration with another address of discovery, and SIGHUP.
     MigrateDiscovery {
-        /// The indexes of the front ends that get it.
+        /// The indexes of the front ends that get the configuration.
         nodes: Vec<usize>,
         /// Whether discovery can be reached at the new address.
         reachable: bool,
@@ -87,14 +88,14 @@
     Restart(Vec<usize>),
     /// Front ends are killed without notice, and start again.
     Kill(Vec<usize>),
-    /// The load is multiplied by this factor, in percent.
+    /// The load becomes this part of the planned load, in percent.
     ScaleLoad(u32),
 }
 
 /// A step and its time from the begin of the load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedStep {
-    /// The time at which it is executed.
+    /// The time at which the step is executed.
     pub at: Duration,
     /// The step itself.
     pub step: Step,
@@ -109,12 +110,12 @@
     pub functions: usize,
 }
 
-/// The figures of the rules, which the front ends' settings hold.
+/// The time limits of the rules, which are part of the front ends' settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long after the notification of a drain new work may still be sent.
+    /// How long after the notification of a drain new work may still be sent to the worker.
     pub drain_grace: Duration,
-    /// How long clients wait.
+    /// How long clients wait for an answer.
     pub client_timeout: Duration,
     /// How long a worker warms up after its start.
     pub slow_start: Duration,
@@ -131,7 +132,7 @@
     pub workers: usize,
     /// The load of each front end.
     pub rates: Rates,
-    /// The figures of the rules in this run.
+    /// The time limits of the rules in this run.
     pub settings: Settings,
     /// How long the load lasts.
     pub duration: Duration,
@@ -140,7 +141,8 @@
 }
 
 impl Plan {
-    /// The same plan with discovery in reach all the time: what the share served is compared with.
+    /// The same plan with discovery in reach all the time. The share of calls served with an outage is compared with that
+    /// of this plan.
     #[must_use]
     pub fn without_outage(&self) -> Plan {
         let mut plan = self.clone();
--- a/crates/pipithub-scenario/src/outage/run.rs
+++ b/crates/pipithub-scenario/src/outage/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan.
+//! Runs a plan.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
 use std::path::Path;
@@ -20,31 +20,32 @@
 use crate::error::RunError;
 use crate::units::MILLISECOND;
 
-/// How long front ends may take to start before the load counts.
+/// How long front ends may take to start before the first step. The load already runs.
 const STARTUP_TIME: Duration = Duration::from_millis(1_500);
-/// How long after the load answers are still awaited.
+/// How long after the end of the load answers are still awaited.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(2_500);
-/// Addresses of discovery that each front end has.
+/// The number of addresses at which each front end can reach discovery.
 const DISCOVERY_ADDRESSES: usize = 2;
-/// The second bytes of the loopback addresses of front ends, discovery and workers.
+/// The second byte of the loopback addresses of front ends; the constants below are those of discovery and workers.
 const NODE_NETWORK: u8 = 78;
 const DISCOVERY_NETWORK: u8 = 79;
 const WORKER_NETWORK: u8 = 80;
 const ZONES: [&str; 2] = ["building-a", "building-b"];
 
-/// Runs a plan with front ends that are started from this program; their configurations and logs go into `folder`.
+/// Runs a plan with front ends that are processes of the program `binary`; their configurations and logs are written into
+/// `folder`.
 ///
 /// # Errors
-/// Fails if an address, a file or a process cannot be had, or a front end has ended by itself.
+/// Fails if an address is not free, a file or a process fails, or a front end has ended by itself.
 pub fn run(plan: &Plan, binary: &Path, folder: &Path) -> Result<History, RunError> {
-    // A runtime of its own: with it end all tasks of the run, and the addresses that they listen at are free again.
+    // The run has a runtime of its own: when it is dropped, all tasks of the run end and their addresses are free again.
     let runtime = tokio::runtime::Runtime::new()?;
     runtime.block_on(run_plan(plan, binary, folder))
 }
 
 async fn run_plan(plan: &Plan, binary: &Path, folder: &Path) -> Result<History, RunError> {
     std::fs::create_dir_all(folder)?;
-    // The port is free on every loopback address as long as this listener holds it.
+    // While this listener holds the port, the port is free on all other loopback addresses.
     let port_holder = StdListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let port = port_holder.local_addr()?.port();
     let mut cluster = Cluster::start(plan, binary, folder, port).await?;
@@ -70,7 +71,7 @@
 /// A front end that is being restarted.
 struct Restart {
     node: usize,
-    /// When it is killed and started again.
+    /// When the front end is killed and started again.
     kill_at: Instant,
 }
 
@@ -78,7 +79,7 @@
     port: u16,
     nodes: Vec<Node>,
     workers: Vec<Arc<Worker>>,
-    /// The endpoint list of each front end: it reaches the workers at addresses of its own.
+    /// The endpoint list of each front end. They differ, because each front end reaches the workers at addresses of its own.
     lists: Vec<Arc<EndpointList>>,
     /// The tasks of all clients.
     clients: Vec<JoinHandle<()>>,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Waits, and carries out the second half of restarts meanwhile.
+    /// Waits until a time. Front ends whose time to be killed comes meanwhile are killed and started again.
     async fn sleep_until_time(&mut self, time: Instant) -> Result<(), RunError> {
         loop {
             self.restarts.sort_by_key(|restart| restart.kill_at);
--- a/crates/pipithub-scenario/src/outage/worker.rs
+++ b/crates/pipithub-scenario/src/outage/worker.rs
@@ -1,8 +1,8 @@
-//! Workers that speak the platform's protocol.
+//! Emulates workers that speak the platform's protocol.
 //!
-//! A draining worker still serves calls for a moment and then rejects them, while its health checks fail from the begin of the
-//! drain on. A worker process that has started holds no function. When a process ends, its connections are reset and new
-//! ones refused; when it hangs, they stay open and silent.
+//! A draining worker still serves calls for up to [`MAX_SERVICE_WHILE_DRAINING`] and then rejects them, while its health
+//! checks fail from the begin of the drain on. A restarted worker process has no function loaded. When a process ends, its
+//! connections are reset and new ones are refused; when it hangs, its connections stay open and get no answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 use super::history::{Execution, ReceivedWork, Recorder, WorkKind, WorkerStart};
 use super::listener::ReopenableListener;
 
-/// How many calls a worker has in flight at most; it rejects further ones.
+/// The maximum number of calls that a worker runs at once; it rejects further ones.
 const MAX_IN_FLIGHT: usize = 64;
-/// How long a draining worker still serves calls, at most.
+/// The maximum time for which a draining worker still serves calls.
 const MAX_SERVICE_WHILE_DRAINING: Duration = Duration::from_millis(900);
 const MIN_RUN_TIME: Duration = Duration::from_millis(5);
 const RUN_TIME_SPREAD_MS: u64 = 20;
 const LOAD_TIME: Duration = Duration::from_millis(120);
-/// Answers that wait to be written on one connection.
+/// The maximum number of answers that wait to be written on one connection.
 const MAX_UNWRITTEN: usize = 1024;
 /// The class whose calls must not run twice.
 pub(super) const UNSAFE_CLASS: &str = "assign";
@@ -36,7 +36,7 @@
 struct Mode {
     ended: bool,
     hung: bool,
-    /// Connections that were made before this number of resets are reset.
+    /// The number of resets so far. A connection ends when the number changes.
     resets: u64,
 }
 
@@ -46,7 +46,7 @@
     loaded: BTreeSet<String>,
 }
 
-/// One worker, over all processes that take its place.
+/// One worker, through all processes that it has one after the other.
 pub(super) struct Worker {
     pub(super) index: usize,
     mode: watch::Sender<Mode>,
@@ -86,12 +86,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins to drain, or is in service again.
+    /// Begins or ends a drain.
     pub(super) fn set_draining(&self, draining: bool) {
         self.state().draining_since = draining.then(|| self.recorder.now());
     }
 
-    /// Ends its process: connections are reset, and new ones refused.
+    /// Ends the process: connections are reset, and new ones are refused.
     pub(super) fn end(&self) {
         self.mode.send_modify(|mode| {
             *mode = Mode {
@@ -102,7 +102,7 @@
         });
     }
 
-    /// Starts a new process, which holds no function.
+    /// Starts a new process, which has no function loaded.
     pub(super) fn restart(&self) {
         *self.state() = State::default();
         let (at, worker) = (self.recorder.now(), self.index);
@@ -111,12 +111,12 @@
         self.mode.send_modify(|mode| mode.ended = false);
     }
 
-    /// Stops to answer, or answers again.
+    /// Makes the worker hang, or answer again.
     pub(super) fn set_hung(&self, hung: bool) {
         self.mode.send_modify(|mode| mode.hung = hung);
     }
 
-    /// Resets all connections of its process, which stays up.
+    /// Resets all connections of the process, which keeps running.
     pub(super) fn reset(&self) {
         self.mode.send_modify(|mode| mode.resets += 1);
     }
@@ -139,7 +139,7 @@
     /// Serves one connection until it ends.
     async fn serve_connection(self: Arc<Self>, node: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // Whatever ends the connection from here ends it by a reset, as the end of a process does.
+        // With a linger time of zero, dropping the connection resets it, as the end of a process does.
         let _ = stream.set_zero_linger();
         let mut mode = self.mode.subscribe();
         let resets = mode.borrow_and_update().resets;
@@ -188,7 +188,7 @@
         running.values().for_each(tokio::task::AbortHandle::abort);
     }
 
-    /// Handles one request and answers it, once the worker does not hang.
+    /// Handles one request and answers it. While the worker hangs, the request waits.
     async fn handle(self: Arc<Self>, request: Value, answers: mpsc::Sender<String>) {
         let mut mode = self.mode.subscribe();
         if mode.wait_for(|mode| !mode.hung).await.is_err() {
@@ -210,7 +210,7 @@
         format!("inflight:{};util:0.3", self.in_flight.load(Relaxed))
     }
 
-    /// Records what has arrived, whatever becomes of it.
+    /// Records that a request has arrived, whether or not it is served.
     fn record_arrival(&self, at: Duration, node: usize, request: &Value) {
         let kind = match request["cmd"].as_str() {
             Some("DO") => WorkKind::Call,
@@ -229,7 +229,8 @@
         });
     }
 
-    /// Whether a draining worker rejects a call now: it serves calls for a time that differs from drain to drain.
+    /// Whether the worker rejects calls now because it drains. For how long it still serves calls differs from drain to
+    /// drain.
     fn rejects_calls(&self) -> bool {
         let Some(since) = self.state().draining_since else {
             return false;
@@ -292,7 +293,7 @@
     }
 }
 
-/// An answer without its reference.
+/// An answer of the worker, without the reference of its request.
 struct Answer {
     status: &'static str,
     body: Value,
@@ -309,7 +310,7 @@
     }
 }
 
-/// Counts a call for as long as it runs.
+/// Counts a call as in flight until it is dropped.
 struct CountedCall<'a>(&'a AtomicUsize);
 
 impl<'a> CountedCall<'a> {
--- a/crates/pipithub-scenario/src/outcome.rs
+++ b/crates/pipithub-scenario/src/outcome.rs
@@ -6,15 +6,15 @@
 
 use crate::units::seconds;
 
-/// A fault or its end, as it was injected. In JSON it is a pair of the time and the code.
+/// An action that begins or ends a fault, as it was carried out. In JSON it is a pair of the time and the code.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, String)")]
 pub struct InjectedFault {
     /// Seconds since the start of the scenario.
     pub at_s: f64,
-    /// The fault in the notation of JSON reports and logs, as `Kill(1)`.
+    /// The action in the notation of JSON reports and logs, for example `Kill(1)`.
     pub code: String,
-    /// The fault in the words of tables.
+    /// The description of the action that tables show.
     pub description: String,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl FaultLog {
-    /// Notes that an action is carried out now, and logs it.
+    /// Records that an action is carried out now, and logs it.
     pub(crate) fn record(&mut self, code: String, description: String) {
         info!(act = code, "scenario action");
         self.actions.push(InjectedAction {
--- a/crates/pipithub-scenario/src/process.rs
+++ b/crates/pipithub-scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes that run this program's own binary and are killed when dropped.
+//! Child processes that run the program `pipithub`. A child is killed when its [`Process`] is dropped.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -15,13 +15,13 @@
 pub struct Process {
     child: Child,
     stdin: Option<ChildStdin>,
-    /// The address that it listens on; empty for a gateway, which does not report one.
+    /// The address that the process listens on; empty for a gateway, which does not print one.
     pub address: String,
 }
 
 impl Process {
     /// Starts an emulated service with these arguments and waits until it has printed its address. Its log is appended
-    /// to a file.
+    /// to the file `log`.
     ///
     /// Fails if the process cannot be started, or does not print `{"address": …}` as its first line in time.
     pub async fn start_emulator(
@@ -52,7 +52,7 @@
         Ok(process)
     }
 
-    /// Starts a gateway with these arguments. Its log is appended to a file.
+    /// Starts a gateway with these arguments. Its log is appended to the file `log`.
     ///
     /// Fails if the process cannot be started or the log cannot be opened.
     pub fn start_gateway(
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Writes a line to its standard input. Fails if the process has ended.
+    /// Writes a line to the standard input of the process. Fails if the process has ended.
     pub async fn send_line(&mut self, line: &str) -> std::io::Result<()> {
         match &mut self.stdin {
             Some(stdin) => {
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its end.
     pub async fn kill(mut self) {
-        // It fails only if the process has already ended.
+        // Killing fails only if the process has already ended.
         let _ = self.child.kill().await;
     }
 
-    /// Its process id; `None` once it has ended.
+    /// The process id; `None` once the process has been waited for.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
--- a/crates/pipithub-scenario/src/random.rs
+++ b/crates/pipithub-scenario/src/random.rs
@@ -1,4 +1,4 @@
-//! A random number generator whose numbers for a seed do not depend on the version of any library.
+//! A random number generator that gives the same numbers for a seed whatever the versions of the libraries are.
 
 /// The generator splitmix64 (Steele, Lea and Flood, 2014).
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
         x ^ (x >> 31)
     }
 
-    /// Draws a number from 0 to below 1.
+    /// Draws a number of at least 0 and below 1.
     pub fn unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/pipithub-scenario/src/run/action.rs
+++ b/crates/pipithub-scenario/src/run/action.rs
@@ -13,15 +13,15 @@
 /// The minimum time between the drain of a worker and its end, in nanoseconds.
 const MIN_DRAIN_TIME: u64 = SECOND;
 
-/// One step of a fault. Its `Display` describes it in the words of tables.
+/// One step of a fault. Its `Display` form is the description shown in tables.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
     KillWorker(usize),
-    /// The endpoint list notifies that a killed worker is removed.
+    /// The endpoint list notifies that all killed processes of a worker are removed.
     RemoveWorker(usize),
     StartWorker(usize),
     DrainWorker(usize),
-    /// The worker accepts requests and does not answer.
+    /// A worker stops answering the requests that it accepts, or answers again.
     SetWorkerSilent {
         worker: usize,
         silent: bool,
@@ -120,7 +120,7 @@
     )
 }
 
-/// The notation of JSON reports and logs.
+/// Formats an action in the notation of JSON reports and logs.
 struct Code<'a>(&'a Action);
 
 impl fmt::Display for Code<'_> {
@@ -249,7 +249,7 @@
         self.timeline.add(restart, Action::StartWorker(worker));
     }
 
-    /// Each worker is drained, gets time to finish, and is ended; its successor starts when it is removed.
+    /// Drains each worker, gives it time to finish, kills it, and starts its successor after it is removed from the list.
     fn add_deploy(&mut self, start: u64, every: u64, count: usize) {
         for worker in 0..count.min(self.scenario.workers) {
             let at = start + every * worker as u64;
--- a/crates/pipithub-scenario/src/run/cluster.rs
+++ b/crates/pipithub-scenario/src/run/cluster.rs
@@ -31,22 +31,23 @@
 /// The memory of a worker, in megabytes.
 const WORKER_MEMORY_MB: f64 = 24_000.0;
 
-/// A worker of the scenario, through all its processes.
+/// A worker of the scenario and its processes, which replace each other.
 #[derive(Default)]
 struct WorkerSlot {
     process: Option<Process>,
-    /// How the endpoint list shows the running process.
+    /// The entry of the running process in the endpoint list; `None` if no process runs.
     listed: Option<Listed>,
     /// Processes that were killed and are still in the endpoint list.
     killed: Vec<Listed>,
 }
 
-/// How a worker starts.
+/// Whether a worker has to warm up after its start.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WorkerStart {
-    /// It has been up for long. A scenario begins with workers that are warm and have no function loaded.
+    /// The worker counts as started long ago and has its full capacity at once. A scenario begins with such workers, which
+    /// have no function loaded.
     Warm,
-    /// It starts now and has to warm up.
+    /// The worker has to warm up.
     Cold,
 }
 
@@ -55,14 +56,14 @@
     pub(super) scenario: &'a Scenario,
     binary: &'a Path,
     folder: PathBuf,
-    /// The name of the policy that replaces the regular one.
+    /// The name of the policy that replaces the regular one; `None` for the regular one.
     baseline: Option<String>,
     list: ListServer,
     store: StoreServer,
     broker: Process,
     directories: Directories,
     workers: Vec<WorkerSlot>,
-    /// Worker processes started so far.
+    /// The number of worker processes started so far.
     workers_started: u64,
     front_ends: Vec<Option<Process>>,
     faults: FaultLog,
@@ -228,7 +229,7 @@
         Ok(())
     }
 
-    /// Carries out an action and notes it for the report.
+    /// Carries out an action and records it for the report.
     pub(super) async fn apply(&mut self, action: Action) -> std::io::Result<()> {
         let (code, description) = (action.code(), action.to_string());
         match action {
--- a/crates/pipithub-scenario/src/run/directories.rs
+++ b/crates/pipithub-scenario/src/run/directories.rs
@@ -15,7 +15,7 @@
 /// Servers of one directory, each with a copy of its own.
 pub(super) struct Directories {
     servers: Vec<DirectoryServer>,
-    /// Which of them miss migrations.
+    /// Whether each server misses migrations.
     stale: Vec<bool>,
     recorder: Recorder,
 }
@@ -61,7 +61,7 @@
         let _ = self.servers[server].command(command);
     }
 
-    /// Lets a server miss migrations, or lets it catch up with one that did not.
+    /// Makes a server miss migrations from now on, or ends that and copies the entries of a server that missed none.
     pub(super) fn set_stale(&mut self, server: usize, stale: bool) {
         self.stale[server] = stale;
         if stale {
@@ -75,7 +75,7 @@
 
     /// Moves a user to the other tenant on all servers that are not stale.
     pub(super) fn migrate(&self, user: usize, tenant: usize) {
-        // It is recorded first: a front end may act on the migration before the next line runs.
+        // The migration is recorded first, because a front end may act on it as soon as a server has it.
         note_membership(&self.recorder, user, tenant);
         let old_tenant = TENANTS[1 - tenant];
         let name = format!("uid=u{user},ou={old_tenant},dc=example");
--- a/crates/pipithub-scenario/src/run/driver.rs
+++ b/crates/pipithub-scenario/src/run/driver.rs
@@ -18,7 +18,7 @@
 
 /// The time between two calls of the progress function, in nanoseconds.
 const PROGRESS_PERIOD: u64 = SECOND;
-/// How much longer than two client timeouts the last answers are awaited, in nanoseconds.
+/// How long after the load and two client timeouts the last answers are still awaited, in nanoseconds.
 const LAST_ANSWERS_TIMEOUT: u64 = 4 * SECOND;
 
 /// The result of driving a scenario.
@@ -29,7 +29,8 @@
     pub(super) answered: usize,
 }
 
-/// Runs until all requests are answered and all actions done, or until no more answers are to be expected.
+/// Publishes the load and carries out the actions, until all requests are answered and all actions done, or until no more
+/// answers are expected.
 pub(super) async fn drive(
     cluster: &mut Cluster<'_>,
     seed: u64,
@@ -58,7 +59,7 @@
     Ok(DriveResult { began, answered })
 }
 
-/// When no more answers are to be expected, in nanoseconds from the first request.
+/// The time from which no more answers are expected, in nanoseconds from the start of the load.
 fn latest_end(scenario: &Scenario) -> u64 {
     let timeouts = scenario.classes.iter().map(|class| class.client_timeout);
     scenario.duration + 2 * timeouts.max().unwrap_or(0) + LAST_ANSWERS_TIMEOUT
@@ -70,7 +71,7 @@
     clock: Clock,
     requests: Peekable<std::vec::IntoIter<ScheduledRequest>>,
     actions: Peekable<std::vec::IntoIter<ScheduledAction<Action>>>,
-    /// All requests of the scenario.
+    /// The number of requests of the scenario.
     total: usize,
     published: usize,
     answered: usize,
--- a/crates/pipithub-scenario/src/run/settings.rs
+++ b/crates/pipithub-scenario/src/run/settings.rs
@@ -10,7 +10,7 @@
 use crate::scenario::{ClassSpec, Scenario, TenantSpec};
 use crate::units::milliseconds;
 
-/// What the settings of a front end depend on beside the scenario.
+/// The parts of a front end's settings that do not follow from the scenario.
 pub(super) struct FrontEndSettings<'a> {
     /// The number of the front end.
     pub(super) number: usize,
@@ -104,9 +104,9 @@
     }
 }
 
-/// The rate limit on load commands that the front ends have by their settings.
+/// The rate limit on load commands in the settings of the front ends; `None` if they have none or are invalid.
 fn load_rate_limit(scenario: &Scenario) -> Option<LoadRateLimit> {
-    // The limit does not depend on addresses, so any valid ones do.
+    // The limit does not depend on the addresses, so any valid address will do.
     let any_address = "127.0.0.1:1";
     let settings = FrontEndSettings {
         number: 0,
--- a/crates/pipithub-scenario/src/scenario.rs
+++ b/crates/pipithub-scenario/src/scenario.rs
@@ -19,16 +19,16 @@
     pub client_timeout: u64,
     /// How much a request counts in the figure `service` of the report, relative to those of other classes.
     pub priority_weight: f64,
-    /// Its part of the requests, relative to the other classes.
+    /// The part of the requests that are of this class, relative to the other classes.
     pub share: f64,
     /// The mean run time of a request, in nanoseconds.
     pub work: u64,
-    /// For how long workers drop duplicates of an idempotency key, in nanoseconds.
+    /// How long workers drop duplicates of an idempotency key, in nanoseconds.
     pub deduplication_window: u64,
 }
 
 impl ClassSpec {
-    /// The word for the idempotency in settings files.
+    /// The value of the setting `effect` for the idempotency of the class.
     pub fn effect(&self) -> &'static str {
         match self.idempotency {
             Idempotency::Idempotent => "safe",
@@ -48,7 +48,7 @@
     },
     /// Workers are replaced one by one, each drained first.
     RollingDeploy {
-        /// Time between two replacements, in nanoseconds.
+        /// The time from the drain of one worker to that of the next, in nanoseconds.
         every: u64,
         /// How many workers are replaced, from number 0 on.
         count: usize,
@@ -84,22 +84,22 @@
     },
     /// Some requests have a very short timeout.
     ShortTimeouts {
-        /// Their part of all requests, from 0 to 1.
+        /// The part of all requests that are affected, from 0 to 1.
         share: f64,
     },
     /// Some requests are for functions that are requested only once.
     OneTimeFunctions {
-        /// Their part of all requests, from 0 to 1.
+        /// The part of all requests that are affected, from 0 to 1.
         share: f64,
     },
-    /// A directory server misbehaves; at the end it behaves again.
+    /// A directory server misbehaves until the end of the fault.
     DirectoryFault {
         /// The server's number.
         server: usize,
         /// The command of the emulated server that causes it.
         fault: String,
     },
-    /// A directory server misses migrations; at the end it catches up.
+    /// A directory server misses migrations until the end of the fault, when it catches up.
     StaleDirectory {
         /// The server's number.
         server: usize,
@@ -111,12 +111,12 @@
     },
     /// The second tenant sends a multiple of its requests.
     TenantSurge {
-        /// How many times as many.
+        /// The factor by which the number of its requests grows.
         times: f64,
     },
     /// Some requests are for one function.
     HotFunction {
-        /// Their part of all requests, from 0 to 1.
+        /// The part of all requests that are affected, from 0 to 1.
         share: f64,
     },
 }
@@ -132,7 +132,7 @@
     pub cross_tenant_share: f64,
     /// Further lines of the directory's settings, in KDL.
     pub settings: String,
-    /// How long after a migration a request may still reach the old tenant, in nanoseconds.
+    /// How long after a migration a request may still reach a function of the old tenant, in nanoseconds.
     pub migration_grace: u64,
 }
 
@@ -157,9 +157,9 @@
     pub worker_arguments: Vec<String>,
     /// Further lines of the front ends' settings, in KDL.
     pub settings: String,
-    /// Time from a crash until the endpoint list sends its notification, in nanoseconds.
+    /// The time from a crash of a worker until the endpoint list notifies of its removal, in nanoseconds.
     pub endpoint_list_delay: u64,
-    /// How long after its notification a front end may still send to a draining worker, in nanoseconds.
+    /// How long after its notification a front end may still send new work to a draining worker, in nanoseconds.
     pub drain_grace: u64,
     /// The tolerance of the rules for time in transit, in nanoseconds.
     pub slack: u64,
--- a/crates/pipithub-scenario/src/scenario/parse.rs
+++ b/crates/pipithub-scenario/src/scenario/parse.rs
@@ -14,7 +14,8 @@
 ];
 
 impl Scenario {
-    /// Parses the text of a scenario file; `file` is its name in errors, and the scenario's if the text has none.
+    /// Parses the text of a scenario file. `file` is the name of the file in errors, and that of the scenario if the text
+    /// gives none.
     ///
     /// Fails, with the position of the first error, if the text is not KDL, or has an unknown node or property, a fault
     /// of something that does not exist, or no class.
@@ -31,7 +32,7 @@
         Ok(scenario)
     }
 
-    /// A scenario with the default of each setting.
+    /// A scenario with the default of each setting, and without classes and faults.
     fn named(name: &str) -> Scenario {
         Scenario {
             name: name.to_string(),
--- a/crates/pipithub-scenario/src/schedule.rs
+++ b/crates/pipithub-scenario/src/schedule.rs
@@ -1,18 +1,18 @@
-//! When the faults of a scenario are injected, and the actions that they consist of.
+//! The times of the faults of a scenario, and of the actions that faults consist of.
 
 /// A fault and when it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault<F> {
-    /// Nanoseconds from the start of the scenario, which for a scenario of requests is its first request.
+    /// The begin of the fault, in nanoseconds from the start of the scenario. A scenario of requests starts with its load.
     pub at: u64,
-    /// How long it lasts, in nanoseconds.
+    /// How long the fault lasts, in nanoseconds.
     pub duration: u64,
     /// The fault.
     pub fault: F,
 }
 
 impl<F> ScheduledFault<F> {
-    /// When it ends, in nanoseconds from the start of the scenario.
+    /// The end of the fault, in nanoseconds from the start of the scenario.
     pub fn end(&self) -> u64 {
         self.at + self.duration
     }
--- a/crates/pipithub-scenario/tests/load.rs
+++ b/crates/pipithub-scenario/tests/load.rs
@@ -55,7 +55,7 @@
     })
 }
 
-/// A figure that was measured with a seed must be comparable later, so the draws of a seed never change.
+/// The requests of a seed must not change, so that figures that were measured with it stay comparable.
 #[test]
 fn requests_of_a_seed_never_change() {
     let requests = requests(&scenario(), 1, "calls");
--- a/crates/pipithub-scenario/tests/outage_checks.rs
+++ b/crates/pipithub-scenario/tests/outage_checks.rs
@@ -1,4 +1,4 @@
-//! The checker of outages finds each planted fault, and nothing where the rules were kept.
+//! The checks of outage runs find each violation in a history, and none in a history that follows the rules.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A front end that started at once; discovery breaks off at 5 s, and worker 1 begins to drain at 5.6 s.
+/// A history in which the front end starts at 0 s, an outage begins at 5 s, and worker 1 begins to drain at 5.6 s.
 fn outage(kind: OutageKind) -> History {
     let change = EndpointChange {
         at: at(5_600),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn work_at_a_draining_worker_counts_from_the_notified_time_of_the_kind_of_outage() {
+fn work_at_a_draining_worker_is_checked_from_the_notified_time_of_the_kind_of_outage() {
     for (kind, last) in [
         (OutageKind::Refused, 5_000 + 2_000 + 1_000 + 50),
         (OutageKind::Unanswered, 5_000 + 4_000 + 1_000 + 50),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_drain_long_after_the_begin_of_an_outage_counts_at_once() {
+fn a_drain_long_after_the_begin_of_an_outage_counts_as_notified_at_once() {
     let mut history = outage(OutageKind::Unanswered);
     history.changes[0].at = at(12_000);
     history.work.push(work(13_050, WorkKind::Call));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_terminated_front_end_owes_answers_to_what_came_in_time() {
+fn a_terminated_front_end_must_answer_calls_that_came_in_time() {
     let history = |sent, closed| History {
         nodes: vec![
             node_event(0, NodeEvent::Started),
@@ -217,7 +217,7 @@
     assert_eq!(
         broken_rules(&history(1_800, 4_700)),
         [],
-        "came too late to be owed an answer"
+        "came too late to need an answer"
     );
     assert_eq!(broken_rules(&history(900, 1_300)), [Rule::FinalAnswer]);
     let mut killed = history(3_000, 3_100);
@@ -227,8 +227,8 @@
 }
 
 #[test]
-fn a_cold_worker_may_not_be_overloaded_by_front_ends_that_were_told() {
-    // Twenty calls a window are usual: a cold worker may get some 36 of them at first.
+fn a_cold_worker_must_not_be_overloaded_by_notified_front_ends() {
+    // Worker 1 usually gets 20 calls in an overload window. Just after its start it may get some 36.
     let usual = (0..200).map(|number| work(number * 100, WorkKind::Call));
     let burst = (0..60).map(|number| work(12_000 + number * 5, WorkKind::Call));
     let mut history = History {
@@ -244,7 +244,7 @@
     history.work.extend(burst);
     history.work.sort_by_key(|work| work.at);
     assert_eq!(broken_rules(&history), [Rule::SlowStart]);
-    // Nobody was told of the start yet.
+    // With an outage that began before the start, the front end does not count as notified of it yet.
     history.outages.push(OutageRecord {
         node: 0,
         begin: at(11_000),
--- a/crates/pipithub-scenario/tests/outcome.rs
+++ b/crates/pipithub-scenario/tests/outcome.rs
@@ -9,6 +9,6 @@
         code: "Kill(0)".into(),
         description: "worker 0 is killed".into(),
     };
-    let json = serde_json::to_string(&[fault]).expect("no map with odd keys");
+    let json = serde_json::to_string(&[fault]).expect("the list can be serialized");
     assert_eq!(json, r#"[[1.5,"Kill(0)"]]"#);
 }
