--- a/crates/pipithub-scenario/src/outage/checks.rs
+++ b/crates/pipithub-scenario/src/outage/checks.rs
@@ -17,7 +17,7 @@
 const RECONNECT_TIME: Duration = Duration::from_millis(1_500);
 /// An answer that comes later than this after its client's timeout counts as missing.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// A call whose connection is closed within this time after it was sent is not lost: its client sends it again.
+/// A call whose connection is closed within this time after it was sent is not lost, because a client may send it again.
 const CLOSE_RACE_GRACE: Duration = Duration::from_millis(50);
 /// A front end that was terminated need not answer calls that are sent later than this after SIGTERM, if it ends.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(700);
@@ -42,7 +42,7 @@
 pub struct Breach {
     /// The rule that was violated.
     pub rule: Rule,
-    /// The time at which it was violated.
+    /// The time at which the rule was violated.
     pub at: Instant,
     /// A description of the violation, for reports.
     pub what: String,
@@ -253,7 +253,7 @@
         // A front end that is killed without SIGTERM owes no answers to the calls that it had at that time.
         None => closed + slack < killed,
         // After SIGTERM a front end may end once it has answered the calls that came in time. A call whose connection is
-        // closed just after it was sent is sent again by its client.
+        // closed just after it was sent may be sent again by its client.
         Some(terminated) => {
             call.sent <= terminated + ARRIVAL_GRACE && closed > call.sent + CLOSE_RACE_GRACE + slack
         }
--- a/crates/pipithub-scenario/src/outage/draw.rs
+++ b/crates/pipithub-scenario/src/outage/draw.rs
@@ -8,7 +8,8 @@
 const NODES: [usize; 12] = [1, 2, 3, 3, 3, 4, 5, 6, 8, 12, 20, 30];
 const DRAIN_GRACES_MS: [u64; 4] = [500, 1_000, 1_000, 2_000];
 const CLIENT_TIMEOUTS_MS: [u64; 4] = [600, 900, 1_000, 1_500];
-/// The maximum number of calls of all front ends in a second. Each front end gets an equal part, but 15 to 80.
+/// The maximum number of calls of all front ends in a second. Each front end gets an equal part, but at least 15 and at
+/// most 80.
 const MAX_CALLS_PER_SECOND: usize = 600;
 const DURATION_MS: u64 = 17_000;
 const SHORT_DURATION_MS: u64 = 12_000;
--- a/crates/pipithub-scenario/src/outage/history.rs
+++ b/crates/pipithub-scenario/src/outage/history.rs
@@ -48,7 +48,7 @@
 pub struct ReceivedWork {
     /// When the worker had read the line of the request.
     pub at: Instant,
-    /// The index of the front end that sent it.
+    /// The index of the front end that sent the work.
     pub node: usize,
     /// The index of the worker that received it.
     pub worker: usize,
