--- a/crates/pipithub-conformance/src/rules/drains.rs
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -1,30 +1,31 @@
-//! A draining or removed worker gets nothing new.
+//! Checks that draining and removed workers get no new work.
 
 use std::collections::BTreeMap;
 
 use super::{Breach, MS, Rule, RuleConfig};
 use crate::record::{Record, Seen};
 
-/// A front end and a worker of which it was notified.
+/// A front end, and a worker whose state it was notified of.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Notified<'a> {
+struct FrontEndAndWorker<'a> {
     front_end: &'a str,
     worker: &'a str,
 }
 
-/// Checks that requests and load commands respect drains.
+/// Reports each request and load command that a front end sent too long after it was notified of the worker's drain or
+/// removal.
 pub(super) fn check(records: &[Record], config: &RuleConfig, breaches: &mut Vec<Breach>) {
     let mut by_time: Vec<&Record> = records.iter().collect();
     by_time.sort_by_key(|record| record.time_ns);
-    // Since when each front end has known that a worker takes nothing new.
-    let mut closed_since: BTreeMap<Notified<'_>, u64> = BTreeMap::new();
+    // The time at which each front end was notified that a worker takes no new work.
+    let mut closed_since: BTreeMap<FrontEndAndWorker<'_>, u64> = BTreeMap::new();
     for record in by_time {
         note_endpoint_state(&mut closed_since, record);
         let Some(NewWork { front_end, work }) = new_work(&record.seen) else {
             continue;
         };
         let worker = record.observer.as_str();
-        let Some(since) = closed_since.get(&Notified { front_end, worker }) else {
+        let Some(since) = closed_since.get(&FrontEndAndWorker { front_end, worker }) else {
             continue;
         };
         if record.time_ns > since + config.drain_grace + config.slack {
@@ -40,9 +41,12 @@
     }
 }
 
-/// Follows the endpoint states that front ends are notified of.
-fn note_endpoint_state<'a>(closed_since: &mut BTreeMap<Notified<'a>, u64>, record: &'a Record) {
-    let Seen::Told {
+/// Updates the times of notification if the record is a notification of the endpoint list.
+fn note_endpoint_state<'a>(
+    closed_since: &mut BTreeMap<FrontEndAndWorker<'a>, u64>,
+    record: &'a Record,
+) {
+    let Seen::EndpointNotified {
         front_end,
         worker,
         state,
@@ -51,7 +55,7 @@
     else {
         return;
     };
-    let key = Notified { front_end, worker };
+    let key = FrontEndAndWorker { front_end, worker };
     if state == "live" {
         closed_since.remove(&key);
     } else {
@@ -59,15 +63,15 @@
     }
 }
 
-/// New work for a worker.
+/// Work that a front end sent to a worker.
 struct NewWork<'a> {
-    /// The front end that sent it.
+    /// The front end that sent the work.
     front_end: &'a str,
-    /// Its description for reports.
+    /// A description of the work for reports.
     work: String,
 }
 
-/// The new work that a record shows; `None` for other records.
+/// The new work that an event shows; `None` for other events.
 fn new_work(seen: &Seen) -> Option<NewWork<'_>> {
     match seen {
         Seen::Call {
@@ -76,11 +80,11 @@
             front_end,
             work: format!("call {request}"),
         }),
-        Seen::Order {
+        Seen::LoadCommand {
             front_end,
             function,
-            copies,
-        } if *copies > 0 => Some(NewWork {
+            replicas,
+        } if *replicas > 0 => Some(NewWork {
             front_end,
             work: format!("a command to load {function}"),
         }),
