--- a/crates/pipithub-emulator/src/accept.rs
+++ b/crates/pipithub-emulator/src/accept.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::{debug, error, warn};
 
-/// The delay before the next attempt while this machine lacks descriptors or memory.
+/// The delay before the next attempt while this machine lacks file descriptors or memory.
 const EXHAUSTED_BACKOFF: Duration = Duration::from_millis(10);
 
 /// Accepts the next connection; `None` after an error that makes the listener unusable.
@@ -20,8 +20,8 @@
 
 /// Calls `accept` until it returns a connection; `None` after an error that makes the listener unusable.
 ///
-/// An error of a single connection is skipped. While this machine lacks descriptors or memory, there is a short delay
-/// between attempts.
+/// An error of a single connection is skipped. While this machine lacks file descriptors or memory, there is a short
+/// delay between attempts.
 pub async fn next_connection<C, F>(mut accept: impl FnMut() -> F) -> Option<C>
 where
     F: Future<Output = io::Result<C>>,
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -2,8 +2,9 @@
 //!
 //! `GET /v2/stream` is answered with server-sent events: first the events since `last-event-id`, or a snapshot of all
 //! workers if those are no longer known; then each new event, and a comment each second. The coordinator counts
-//! connections, bytes, messages and its own CPU time. It can reject connections, limit their rate, lose its history or
-//! break streams off. Measurements of it do not apply to the users' coordinator, which is another program.
+//! connections, bytes, messages and its own CPU time. It can reject connections, limit their bandwidth, discard its
+//! history or break off streams. Measurements of it do not apply to the coordinator that users run, which is another
+//! program.
 
 mod stream;
 mod tier;
@@ -27,7 +28,7 @@
 
 /// The number of past events that are kept; a front end that missed more gets a snapshot.
 const MAX_HISTORY: usize = 1024;
-/// The number of requests that are kept.
+/// The number of requests kept for [`Coordinator::requests`]; later ones are not kept.
 const MAX_REQUESTS: usize = 16_384;
 /// The backlog of the listener, as all front ends of a site may connect at once.
 const BACKLOG: u32 = 4096;
@@ -70,7 +71,7 @@
     pub comments: Option<Duration>,
     /// The bandwidth of each stream in bytes per second; `None` for no limit.
     pub rate: Option<u64>,
-    /// All streams are ended, and new connections are counted and closed without an answer.
+    /// Whether all streams are ended, and new connections are counted and closed without an answer.
     pub cut: bool,
 }
 
@@ -100,18 +101,20 @@
     }
 }
 
-/// The events that streams send.
+/// The events and comments that streams send.
 #[derive(Default)]
 struct EventLog {
     /// The index of the last event.
     last: u64,
-    /// The event that lists all workers.
+    /// The event `last` as one that lists all workers.
     snapshot: Bytes,
+    /// The last events, oldest first.
     history: VecDeque<FramedEvent>,
     /// The number of comments requested by [`Coordinator::comment`].
     comments: u64,
-    /// The number of bytes after its head at which the next stream breaks off.
+    /// The number of bytes after the response head at which the next stream breaks off; `None` if it does not.
     break_off: Option<usize>,
+    /// The heads of the first requests, as received.
     requests: Vec<String>,
 }
 
@@ -125,7 +128,8 @@
         self.history.push_back(event);
     }
 
-    /// The events after this one; a snapshot if some of them are no longer kept or a new stream has seen none.
+    /// The events after the index `last`. They are replaced by one snapshot if some of them are no longer kept, or if a
+    /// new stream has not received any event yet.
     fn since(&self, last: u64, is_new: bool) -> Vec<FramedEvent> {
         if last >= self.last {
             return Vec::new();
@@ -150,7 +154,7 @@
     counters: Counters,
     log: Mutex<EventLog>,
     behaviour: watch::Sender<Behaviour>,
-    /// A counter that changes with the log.
+    /// A counter that is incremented with each change of the log, to wake the streams.
     changes: watch::Sender<u64>,
 }
 
@@ -219,8 +223,8 @@
         self.address
     }
 
-    /// Publishes an event with these workers and returns its index. `complete` if the event lists all workers; `tier` has
-    /// all workers after the event.
+    /// Publishes an event with these workers and returns its index. `complete` states whether the event lists all
+    /// workers; `tier` holds all workers as they are after the event.
     pub fn publish(&self, complete: bool, hosts: &[Value], tier: &Tier) -> u64 {
         let index = self.shared.log().last + 1;
         let text = event(index, complete, hosts);
@@ -229,7 +233,8 @@
         index
     }
 
-    /// Publishes an event by its text; `snapshot` is the event that lists all workers, for streams that missed too much.
+    /// Publishes an event with this text. `snapshot` is the text of the event that lists all workers, for front ends that
+    /// missed events that are no longer kept.
     pub fn publish_text(&self, index: u64, text: &str, snapshot: &str) {
         let event = FramedEvent::new(index, text);
         let snapshot = FramedEvent::new(index, snapshot);
@@ -237,7 +242,7 @@
         self.shared.announce_change();
     }
 
-    /// Drops past events, as after a restart: a front end that connects again gets a snapshot.
+    /// Drops past events, as a restart does. A front end that has missed events gets a snapshot when it reconnects.
     pub fn clear_history(&self) {
         self.shared.log().history.clear();
     }
@@ -248,17 +253,17 @@
         self.shared.announce_change();
     }
 
-    /// Makes the next stream break off when this number of bytes has been sent after its head.
+    /// Makes the next stream break off when this number of bytes has been sent after the response head.
     pub fn break_off(&self, after: usize) {
         self.shared.log().break_off = Some(after);
     }
 
-    /// Changes the behaviour, for open streams as well.
+    /// Changes the behaviour, for open streams as well. Only their interval of comments stays as it was.
     pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         self.shared.behaviour.send_modify(change);
     }
 
-    /// The present counts.
+    /// The current counts.
     pub fn counts(&self) -> Counts {
         let counters = &self.shared.counters;
         Counts {
@@ -272,7 +277,7 @@
         }
     }
 
-    /// The first 16,384 requests, as received.
+    /// The heads of the first 16,384 requests, as received.
     pub fn requests(&self) -> Vec<String> {
         self.shared.log().requests.clone()
     }
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -12,7 +12,7 @@
 use crate::accept::next_stream;
 
 const MAX_REQUEST_BYTES: usize = 4096;
-/// The interval of writes to a stream with limited bandwidth.
+/// The interval between writes to a stream with limited bandwidth.
 const THROTTLE_INTERVAL: Duration = Duration::from_millis(50);
 /// The timer interval of a stream without comments, whose ticks are ignored.
 const NO_COMMENTS: Duration = Duration::from_secs(3600);
@@ -93,16 +93,16 @@
 struct Progress {
     /// The index of the last event that was sent.
     last: u64,
-    /// No event was sent yet.
+    /// Whether [`Progress::send_updates`] has not been called yet.
     is_new: bool,
-    /// Comments of the log that were sent.
+    /// The number of requested comments in the log that were sent, or were requested before the stream began.
     comments: u64,
-    /// The number of bytes after which the stream breaks off.
+    /// The number of bytes after which the stream breaks off; `None` if it does not.
     remaining_bytes: Option<usize>,
 }
 
 impl Progress {
-    /// Sends the events and comments that came since the last call.
+    /// Sends the events and the requested comments that were added since the last call.
     async fn send_updates(
         &mut self,
         writer: &mut (impl AsyncWriteExt + Unpin),
@@ -132,7 +132,7 @@
     }
 }
 
-/// The head of the request; `None` where it does not end, or not soon enough.
+/// Reads the head of a request; `None` if the connection ends first or the head is too long.
 async fn read_request(stream: &mut TcpStream, shared: &Shared) -> io::Result<Option<String>> {
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
@@ -162,7 +162,7 @@
     send(writer, COMMENT, shared).await
 }
 
-/// Writes bytes, at the rate that is set.
+/// Writes bytes, at the bandwidth that is set.
 async fn send(
     writer: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
--- a/crates/pipithub-emulator/src/coordinator/tier.rs
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-/// Workers that share a block.
+/// The number of workers in a block.
 const BLOCK_WORKERS: usize = 16;
 /// The start time of the first worker, in Unix milliseconds.
 const FIRST_BIRTH_MS: u64 = 1_790_000_000_000;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Tier {
     hosts: Vec<Value>,
-    /// Number of workers created so far.
+    /// The number of workers created so far.
     created: u64,
 }
 
@@ -29,7 +29,7 @@
         tier
     }
 
-    /// A new worker at an index, with a name and a start time of its own.
+    /// Creates a worker at an index, with a name and a start time of its own.
     fn make_host(&mut self, index: usize, zone: usize) -> Value {
         self.created += 1;
         let created = self.created;
@@ -46,12 +46,13 @@
         })
     }
 
-    /// All workers, in the form of events.
+    /// All workers, in the form that events have them.
     pub fn hosts(&self) -> &[Value] {
         &self.hosts
     }
 
-    /// Replaces a worker by a new one and returns both changes for an event.
+    /// Replaces a worker by a new one and returns the deletion and the addition for an event; none if there is no worker
+    /// at the index.
     pub fn replace(&mut self, index: usize) -> Vec<Value> {
         let Some(old) = self.hosts.get(index).cloned() else {
             return Vec::new();
@@ -80,7 +81,7 @@
     host
 }
 
-/// The text of a list event; `complete`: it names every worker.
+/// The text of an event of the endpoint list. `complete` states whether it lists all workers.
 pub fn event(index: u64, complete: bool, hosts: &[Value]) -> String {
     json!({"index": index, "endpoints": {"seq": index, "whole": complete, "hosts": hosts}})
         .to_string()
--- a/crates/pipithub-emulator/src/credentials.rs
+++ b/crates/pipithub-emulator/src/credentials.rs
@@ -5,7 +5,7 @@
 /// The name of a user and the password that the user logs in with. `Debug` does not show the password.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
-    /// The user's name; for a directory the DN that clients bind as.
+    /// The user's name; for a directory server, the DN that clients bind as.
     pub user: String,
     /// The password.
     pub password: String,
--- a/crates/pipithub-emulator/src/directory.rs
+++ b/crates/pipithub-emulator/src/directory.rs
@@ -50,9 +50,9 @@
     pub silent: bool,
     /// Every n-th answer to a search is dropped; 0 for none.
     pub drop_every: u32,
-    /// Searches are answered with a wrong entry.
+    /// Searches below a base entry find only the last entry of the tree, whether or not it matches.
     pub wrong: bool,
-    /// The server is still loading its entries, so none exists.
+    /// Searches find no base entry, as if the server were still loading its entries.
     pub loading: bool,
     /// Searches are answered with the result code `busy`.
     pub busy: bool,
@@ -183,7 +183,7 @@
         true
     }
 
-    /// Moves an entry below another one; whether it was there.
+    /// Moves an entry below another one; returns whether the entry existed.
     pub fn move_to(&self, name: &str, superior: &str) -> bool {
         let (Ok(dn), Ok(superior)) = (Dn::parse(name), Dn::parse(superior)) else {
             return false;
--- a/crates/pipithub-emulator/src/directory/filter.rs
+++ b/crates/pipithub-emulator/src/directory/filter.rs
@@ -1,4 +1,4 @@
-//! Search filters against entries.
+//! Evaluation of search filters on entries.
 
 use pipithub_ldap::dn;
 use pipithub_ldap::message::{Filter, SubstringChoice};
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Whether the test holds for a value of the attribute, folded for comparison.
+    /// Whether the test holds for any value of the attribute. The values are folded for comparison.
     fn any_value(&self, name: &str, test: impl Fn(&str) -> bool) -> bool {
         self.values(name).iter().any(|value| test(&folded(value)))
     }
 }
 
-/// Matches a piece against the rest of a value and consumes it.
+/// Matches a substring against the rest of a value and consumes the rest up to its end; false if there is no match.
 fn take_substring(rest: &mut &str, substring: &SubstringChoice) -> bool {
     match substring {
         SubstringChoice::Initial(piece) => match rest.strip_prefix(folded(piece).as_str()) {
--- a/crates/pipithub-emulator/src/directory/search.rs
+++ b/crates/pipithub-emulator/src/directory/search.rs
@@ -1,4 +1,4 @@
-//! Searches: scopes, paging, content synchronisation, and entries as a client is sent them.
+//! Searches: scopes, paging, content synchronisation, and the entries in their results.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 
 use super::tree::{Entry, EntryUuid, Tree};
 
-/// A search as it comes.
+/// A search request that was received.
 pub(super) struct Search<'a> {
-    /// The message that asks for it.
+    /// The id of the message with the request.
     pub(super) message_id: u32,
     pub(super) request: &'a SearchRequest,
     pub(super) controls: Option<&'a Vec<Control>>,
@@ -28,7 +28,7 @@
         search_done(self.message_id, code, "")
     }
 
-    /// Whether the scope, below its base, includes a name.
+    /// Whether the scope of the search includes a DN, if `base` is the base of the search.
     fn includes(&self, base: &Dn, dn: &Dn) -> bool {
         match self.request.scope {
             SearchRequestScope::SingleLevel => dn.parent().as_ref() == Some(base),
@@ -38,7 +38,7 @@
 }
 
 impl Tree {
-    /// The answer to a search, without the changes that a persistent one is sent later.
+    /// The answers to a search, without the changes that a persistent search is sent later.
     pub(super) fn search(&mut self, search: &Search) -> Vec<LdapMessage> {
         self.searches += 1;
         if self.faults.busy {
@@ -116,7 +116,7 @@
         messages
     }
 
-    /// The entries that a search finds; with the fault of a wrong answer, the last one of the tree.
+    /// The entries that a search finds; with the fault `wrong`, only the last entry of the tree.
     fn find(&self, search: &Search, base: &Dn) -> Vec<&Entry> {
         if self.faults.wrong
             && let Some(last) = self.entries.values().next_back()
@@ -134,7 +134,7 @@
 }
 
 impl Entry {
-    /// The entry with the attributes that are asked for.
+    /// The entry as a search result with the requested attributes.
     pub(super) fn to_result(&self, wanted: &[String]) -> SearchResultEntry {
         let mut attributes: BTreeMap<String, Vec<Vec<u8>>> = BTreeMap::new();
         let all = wanted.is_empty() || wanted.iter().any(|name| name == "*");
@@ -169,7 +169,7 @@
     }
 }
 
-/// The names of the attributes that a search asks for.
+/// The names of the attributes that a search requests.
 pub(super) fn wanted_attributes(request: &SearchRequest) -> Vec<String> {
     request
         .attributes
@@ -184,7 +184,7 @@
         .any(|wanted| wanted.eq_ignore_ascii_case(name))
 }
 
-/// The cookie of a page is the number of the entry that it begins with.
+/// The index of the first entry of a page. It is the cookie of the page; an empty or invalid cookie stands for 0.
 fn page_start(cookie: &[u8]) -> usize {
     std::str::from_utf8(cookie)
         .ok()
@@ -192,7 +192,7 @@
         .unwrap_or(0)
 }
 
-/// The end of a search.
+/// The message that ends a search.
 pub(super) fn search_done(message_id: u32, code: ResultCode, text: &str) -> LdapMessage {
     let result = LdapResult::new(code, "".into(), text.into());
     LdapMessage::new(
--- a/crates/pipithub-emulator/src/directory/session.rs
+++ b/crates/pipithub-emulator/src/directory/session.rs
@@ -47,7 +47,7 @@
     shared: &'a Shared,
     is_secured: bool,
     is_bound: bool,
-    /// Persistent searches, by the messages that asked for them.
+    /// Persistent searches, by the ids of the messages that requested them.
     persistent: BTreeMap<u32, SearchRequest>,
     delayed: VecDeque<DelayedAnswer>,
 }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Queues answers for the time after the current delay.
+    /// Queues answers to be sent together after the current delay.
     fn delay(&mut self, answers: &[LdapMessage]) {
         let due = Instant::now() + self.shared.tree().faults.delay;
         let bytes = answers.iter().flat_map(encode).collect();
@@ -203,7 +203,7 @@
         answers
     }
 
-    /// The messages that a change causes for the persistent searches; `None`: the session ends.
+    /// The messages about a change for the persistent searches; `None` if the session must end.
     fn messages_for_change(&self, change: Result<Change, RecvError>) -> Option<Vec<LdapMessage>> {
         let change = change.ok()?;
         let tree = self.shared.tree();
@@ -228,7 +228,7 @@
     }
 }
 
-/// An entry that changed, where a persistent search finds it.
+/// The message about a changed entry for a persistent search; `None` if the filter of the search does not match it.
 fn updated_entry(
     tree: &Tree,
     message_id: u32,
--- a/crates/pipithub-emulator/src/directory/tree.rs
+++ b/crates/pipithub-emulator/src/directory/tree.rs
@@ -1,4 +1,4 @@
-//! The entries of an emulated directory and their order of change.
+//! The entries of an emulated directory, and the number of its last change.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    /// Its name as it was written.
+    /// The DN as it was written in the LDIF, or the DN after a move.
     pub(super) written_dn: String,
     pub(super) attributes: Vec<Attribute>,
     pub(super) uuid: EntryUuid,
-    /// Its `modifyTimestamp`.
+    /// The `modifyTimestamp` of the entry.
     pub(super) modified: String,
 }
 
@@ -44,9 +44,9 @@
 pub(super) struct Tree {
     pub(super) entries: BTreeMap<Dn, Entry>,
     pub(super) base: Dn,
-    /// Rises with each change.
+    /// Increases with each change.
     pub(super) change_number: u64,
-    /// Entries that were ever inserted.
+    /// The number of insertions so far.
     inserted: u64,
     pub(super) faults: Faults,
     pub(super) searches: u64,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Inserts an entry, or replaces that of the same name.
+    /// Inserts an entry, or replaces the one with the same DN.
     pub(super) fn insert(&mut self, record: ldif::Record) {
         self.change_number += 1;
         self.inserted += 1;
@@ -87,14 +87,14 @@
         self.entries.insert(record.dn, entry);
     }
 
-    /// Removes an entry.
+    /// Removes an entry and returns its UUID; `None` if there is no such entry.
     pub(super) fn remove(&mut self, dn: &Dn) -> Option<EntryUuid> {
         let entry = self.entries.remove(dn)?;
         self.change_number += 1;
         Some(entry.uuid)
     }
 
-    /// Moves an entry below another one; its new name.
+    /// Moves an entry below another one and returns its new DN; `None` if there is no such entry.
     pub(super) fn move_entry(&mut self, dn: &Dn, superior: &Dn) -> Option<Dn> {
         let mut entry = self.entries.remove(dn)?;
         let moved = dn.moved(None, Some(superior));
@@ -105,7 +105,7 @@
         Some(moved)
     }
 
-    /// The `contextCSN` of the base.
+    /// The `contextCSN` of the base entry.
     pub(super) fn csn(&self) -> String {
         format!(
             "20260101000000.{:06}Z#000000#000#000000",
@@ -134,7 +134,7 @@
     uuid
 }
 
-/// The generalized time of now (RFC 4517, 3.3.13).
+/// The current time as a generalized time (RFC 4517, 3.3.13).
 fn timestamp() -> String {
     let millis = i64::try_from(pipithub_clock::wall_ms()).unwrap_or(i64::MAX);
     chrono::DateTime::from_timestamp_millis(millis)
--- a/crates/pipithub-emulator/src/list.rs
+++ b/crates/pipithub-emulator/src/list.rs
@@ -35,7 +35,7 @@
     /// The workers, by the names of their slices.
     workers: BTreeMap<String, ListedWorker>,
     history: VecDeque<VersionedWorker>,
-    /// The delay of answers and changes.
+    /// The delay of lists and of changes in watches.
     delay: Duration,
     /// A counter whose change ends all watches.
     breaks: u64,
@@ -73,7 +73,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends all watches; with `forget` their versions have expired as well.
+    /// Ends all watches. With `forget`, the history is dropped, so that their versions have expired.
     fn break_watches(&self, forget: bool) {
         let mut state = self.lock();
         state.breaks += 1;
@@ -112,8 +112,8 @@
 
 impl ListServer {
     /// Starts a server with an empty list. `POST /control/worker` with a [`ListedWorker`] in JSON sets a worker, `POST
-    /// /control/delay?ms=N` delays changes, `POST /control/break` ends all watches, `POST /control/forget` drops the
-    /// history as well. Fails if the address cannot be bound.
+    /// /control/delay?ms=N` delays lists and changes by N milliseconds, `POST /control/break` ends all watches, `POST
+    /// /control/forget` also drops the history. Fails if the address cannot be bound.
     pub async fn start(listen: SocketAddr, recorder: Recorder) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -150,12 +150,12 @@
         self.shared.set(worker);
     }
 
-    /// Sets the delay of answers and changes.
+    /// Sets the delay of lists and of changes in watches.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.lock().delay = delay;
     }
 
-    /// Ends all watches; with `forget` their versions have expired as well.
+    /// Ends all watches. With `forget`, the history is dropped, so that their versions have expired.
     pub fn break_watches(&self, forget: bool) {
         self.shared.break_watches(forget);
     }
--- a/crates/pipithub-emulator/src/list/api.rs
+++ b/crates/pipithub-emulator/src/list/api.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// The complete list. It is made now and sent after the delay, so that a late list shows an old state.
+/// Answers with the complete list. It is built before the delay, so that a delayed list shows an old state.
 async fn list(shared: &Shared, front_end: &str) -> HttpResponse {
     let (list, workers, delay) = {
         let state = shared.lock();
@@ -106,7 +106,7 @@
     full(StatusCode::OK, body)
 }
 
-/// The version that a watch begins behind.
+/// The version after which a watch begins; 0 if it is missing or invalid.
 fn resource_version(query: &str) -> u64 {
     parameter(query, "resourceVersion")
         .and_then(|version| version.parse().ok())
--- a/crates/pipithub-emulator/src/list/slice.rs
+++ b/crates/pipithub-emulator/src/list/slice.rs
@@ -16,7 +16,7 @@
     pub ip: String,
     /// The worker's port. Each address and port has a slice of its own.
     pub port: u16,
-    /// Identifies the process: a restarted worker has another one.
+    /// Identifies the worker's process; a restarted worker has another `uid`.
     pub uid: String,
     /// The worker's zone; empty if unknown.
     #[serde(default)]
@@ -32,7 +32,7 @@
 }
 
 impl ListedWorker {
-    /// The name of its slice.
+    /// The name of the worker's slice.
     pub(super) fn slice_name(&self) -> String {
         format!("workers-{}-{}", self.ip.replace(['.', ':'], "-"), self.port)
     }
@@ -41,7 +41,7 @@
         self.state == "gone"
     }
 
-    /// Its slice at this version of the list.
+    /// The worker's slice at a version of the list.
     pub(super) fn slice(&self, version: u64) -> EndpointSlice {
         let ready = self.state == "live";
         let conditions = Conditions {
--- a/crates/pipithub-emulator/src/list/watch.rs
+++ b/crates/pipithub-emulator/src/list/watch.rs
@@ -141,7 +141,7 @@
         "message": format!("too old resource version: {version}")}})
 }
 
-/// The events as the frames of a body, so that no further crate is needed for a stream.
+/// The events as the frames of a response body. This avoids a dependency on another crate for streams.
 struct Events(mpsc::Receiver<Bytes>);
 
 impl Stream for Events {
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -22,7 +22,7 @@
 pub struct LinkConditions {
     /// All datagrams are lost.
     pub cut: bool,
-    /// Datagrams are held back until this ends.
+    /// Datagrams are held back until the pause ends.
     pub paused: bool,
     /// The delay of every datagram.
     pub delay: Duration,
@@ -110,7 +110,7 @@
         self.address
     }
 
-    /// Sets the destination; `None`: datagrams are dropped.
+    /// Sets the destination; without one (`None`), datagrams are dropped.
     pub fn forward_to(&self, destination: Option<SocketAddr>) {
         *self
             .shared
@@ -132,7 +132,7 @@
     on_datagram: impl Fn(&[u8]),
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    // When the link is free again, at the rate that is set.
+    // When the link has transmitted all earlier datagrams, at the bandwidth that is set.
     let mut idle_from = Instant::now();
     loop {
         let Ok((count, _)) = socket.recv_from(&mut buffer).await else {
@@ -161,7 +161,7 @@
     }
 }
 
-/// Sends a datagram on at its time, or once a pause ends.
+/// Forwards a datagram when it is due, or once a pause has ended.
 async fn forward(socket: Arc<UdpSocket>, shared: Arc<Shared>, bytes: Vec<u8>, due: Instant) {
     let mut conditions = shared.conditions.subscribe();
     tokio::time::sleep_until(due).await;
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -12,7 +12,7 @@
 
 use crate::accept::next_stream;
 
-/// The number of claimed keys from which on expired ones are removed.
+/// When this many keys are stored, a claim removes the expired ones.
 const MAX_KEYS: usize = 1_000_000;
 /// The maximum number of bytes read from one connection.
 const MAX_CONNECTION_BYTES: u64 = 1 << 20;
@@ -26,7 +26,7 @@
 pub struct StoreSettings {
     /// The time of a fetch at full speed.
     pub fetch: Duration,
-    /// How many concurrent fetches run at full speed; with more, all slow down in proportion.
+    /// How many concurrent fetches run at full speed. A fetch that begins while there are more takes longer in proportion.
     pub full_speed_fetches: usize,
     /// How many concurrent fetches are accepted; further ones are rejected.
     pub max_fetches: usize,
@@ -153,8 +153,10 @@
 }
 
 impl StoreServer {
-    /// Starts a store on an address. Its protocol has one command per line, each answered by `ok` or `no`: `GET name`,
-    /// `KEY ms key`, `UNKEY key`, `SLOW factor`, `HALT`, `GO`. Fails if the address cannot be bound.
+    /// Starts a store on an address. Its protocol has one command per line, each answered by `ok` or `no`: `GET name`
+    /// fetches a model, `KEY ms key` claims a key for a number of milliseconds, `UNKEY key` releases it, `SLOW factor`
+    /// multiplies the time of fetches, `HALT` rejects all fetches, `GO` accepts them again. Fails if the address cannot be
+    /// bound.
     pub async fn start(listen: SocketAddr, settings: StoreSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -219,19 +221,19 @@
     text.replace(['\n', '\r'], "?")
 }
 
-/// Fetches a model; whether that succeeded.
+/// Fetches a model from a store; returns whether that succeeded.
 pub(crate) async fn fetch(address: &str, model: &str) -> bool {
     let line = format!("GET {}", one_line(model));
     matches!(send_line(address, &line).await.as_deref(), Ok(OK))
 }
 
-/// Claims a key for a request; false where its effect was had, or is being had, elsewhere.
+/// Claims a key for a request; false if another request has claimed it. If the store does not answer, the result is true.
 pub(crate) async fn claim(address: &str, key: &str, window: Duration) -> bool {
     let line = format!("KEY {} {}", window.as_millis(), one_line(key));
     !matches!(send_line(address, &line).await.as_deref(), Ok(NO))
 }
 
-/// Gives a key back: its request did not run.
+/// Releases a key whose request did not run.
 pub(crate) async fn release(address: &str, key: &str) {
     let _ = send_line(address, &format!("UNKEY {}", one_line(key))).await;
 }
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -44,7 +44,7 @@
 }
 
 impl WorkerCore {
-    /// A worker that starts now without replicas. With `has_store` models are fetched by [`WorkerEvent::Fetch`].
+    /// A worker that starts at `now` without replicas. With `has_store`, models are fetched by [`WorkerEvent::Fetch`].
     pub(super) fn new(settings: WorkerSettings, has_store: bool, now: Time) -> Self {
         WorkerCore {
             settings,
@@ -66,17 +66,17 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Requests that run or wait.
+    /// The number of requests that run or wait.
     pub(super) fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// The share of its cores that is in use.
+    /// The share of the worker's cores that is in use, from 0 to 1.
     pub(super) fn cpu_utilization(&self) -> f64 {
         (self.running.len() as f64 / self.settings.cores).min(1.0)
     }
 
-    /// The share of its memory in replicas that cannot be unloaded now.
+    /// The share of the worker's memory that holds replicas that cannot be unloaded now.
     pub(super) fn memory_utilization(&self) -> f64 {
         let pinned: f64 = self
             .functions
@@ -86,7 +86,7 @@
         pinned / self.settings.memory_mb.max(1.0)
     }
 
-    /// Loads under way or waiting.
+    /// The number of loads that are in progress or queued.
     pub(super) fn loading(&self) -> usize {
         self.functions
             .values()
@@ -112,7 +112,8 @@
             .collect()
     }
 
-    /// Lets time pass: work is done, loads end, idle replicas and old keys go.
+    /// Advances the time: requests and loads make progress and end, idle replicas and expired keys are removed, and
+    /// waiting requests start.
     pub(super) fn on_time(&mut self, now: Time) {
         let passed = now.saturating_sub(self.now) as f64 * self.request_speed();
         self.now = now;
@@ -160,13 +161,13 @@
         [request, warm_up, load, idle].into_iter().flatten().min()
     }
 
-    /// The share of its capacity that it has now.
+    /// The part of its capacity that the worker has now, from 0 to 1.
     fn current_weight(&self) -> f64 {
         self.settings
             .weight_at_age(self.now.saturating_sub(self.started))
     }
 
-    /// Work that each running request gets done in a unit of time.
+    /// The speed at which each running request makes progress; 1 is that of a whole core with speed 1.
     fn request_speed(&self) -> f64 {
         let cores_each = self.settings.cores / self.running.len().max(1) as f64;
         self.settings.speed * self.current_weight() * cores_each.min(1.0)
--- a/crates/pipithub-emulator/src/worker/core/events.rs
+++ b/crates/pipithub-emulator/src/worker/core/events.rs
@@ -5,7 +5,7 @@
 /// An inference request that arrives.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(in crate::worker) struct InferenceRequest {
-    /// The number that the server gives it.
+    /// The number that the server gives the request.
     pub(in crate::worker) id: u64,
     /// The requested model.
     pub(in crate::worker) function: String,
@@ -15,29 +15,29 @@
     pub(in crate::worker) replica_mb: f64,
     /// Concurrency of a replica; 0 if not stated.
     pub(in crate::worker) replica_concurrency: u32,
-    /// Its run time; `None` if not stated.
+    /// The work of the request: its run time at speed 1, in nanoseconds; `None` if not stated.
     pub(in crate::worker) work: Option<Time>,
-    /// Another worker has already run it, so it is dropped.
+    /// Whether its key is already claimed at the store, so that the request is dropped as a duplicate.
     pub(in crate::worker) is_duplicate: bool,
 }
 
 /// What the core reports to the server.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::worker) enum WorkerEvent {
-    /// A request starts to run; `dropped` if it had taken effect before.
+    /// A request starts to run; `dropped` if it is a duplicate and has no effect.
     Running { id: u64, dropped: bool },
     /// A request has ended.
     Finished {
         id: u64,
-        /// How it found a replica, or why it did not run.
+        /// How the request found a replica, or why it did not run.
         result: Result<Placement, Rejection>,
-        /// Requests for the same model that were in flight when it arrived.
+        /// The number of requests for the same model that were in flight when this one arrived.
         concurrency: u32,
     },
     /// A load or unload command has ended.
     CommandFinished {
         id: u64,
-        /// Replicas that are ready.
+        /// The number of replicas that are ready.
         replicas: u32,
         /// Why the requested replicas are not ready, if they are not.
         result: Result<(), Rejection>,
@@ -46,9 +46,9 @@
     Fetch(String),
     /// The worker was overloaded while it warmed up, and fails.
     Overloaded {
-        /// Requests received within the overload window.
+        /// The number of requests received within the overload window.
         received: f64,
-        /// Requests that it could have handled within that window.
+        /// The number of requests that are allowed within that window.
         bound: f64,
     },
 }
--- a/crates/pipithub-emulator/src/worker/core/function.rs
+++ b/crates/pipithub-emulator/src/worker/core/function.rs
@@ -18,33 +18,36 @@
     Until(Time),
 }
 
+/// The state of a model.
 #[derive(Debug, Default)]
 pub(super) struct FunctionState {
-    /// Replicas that are ready.
+    /// The number of replicas that are ready.
     pub(super) ready: u32,
     pub(super) loads: Vec<Load>,
-    /// Loads that wait for their start.
+    /// The number of loads that have not started yet.
     pub(super) queued_loads: u32,
     /// The number of running requests.
     pub(super) running: u32,
     pub(super) replica_concurrency: u32,
+    /// The memory of a replica, in MB.
     pub(super) replica_mb: f64,
+    /// When the model was last used: a request or a load ended, or a load command arrived.
     pub(super) idle_since: Time,
     pub(super) commands: Vec<LoadCommand>,
 }
 
 impl FunctionState {
-    /// Replicas that are ready or will be.
+    /// The number of replicas that are ready, being loaded or queued to be loaded.
     pub(super) fn replicas(&self) -> u32 {
         self.ready + self.loading()
     }
 
-    /// Replicas that are being loaded or wait for it.
+    /// The number of replicas that are being loaded or queued to be loaded.
     pub(super) fn loading(&self) -> u32 {
         self.loads.len() as u32 + self.queued_loads
     }
 
-    /// The fewest replicas that could run the present requests.
+    /// The fewest replicas that could run the running requests.
     pub(super) fn used_replicas(&self) -> u32 {
         self.running.div_ceil(self.replica_concurrency.max(1))
     }
@@ -62,13 +65,13 @@
         f64::from(self.replicas()) * self.replica_mb
     }
 
-    /// Memory of replicas that cannot be unloaded now.
+    /// The memory of replicas that cannot be unloaded now, in MB.
     pub(super) fn pinned_memory_mb(&self) -> f64 {
         let pinned = self.used_replicas() + self.loads.len() as u32;
         f64::from(pinned) * self.replica_mb
     }
 
-    /// Whether it has neither replicas nor running requests.
+    /// Whether the model has neither replicas nor running requests.
     pub(super) fn is_unused(&self) -> bool {
         self.replicas() == 0 && self.running == 0
     }
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Takes the commands whose replicas are ready.
+    /// Takes the commands whose requested replicas are ready.
     pub(super) fn take_completed_commands(&mut self) -> Vec<LoadCommand> {
         let ready = self.ready;
         let (completed, waiting) = std::mem::take(&mut self.commands)
--- a/crates/pipithub-emulator/src/worker/core/loads.rs
+++ b/crates/pipithub-emulator/src/worker/core/loads.rs
@@ -8,7 +8,7 @@
 use super::requests::WaitingRequest;
 use super::{FunctionState, Load, Rejection, WorkerCore, WorkerEvent};
 
-/// A load command asks for no more replicas than this.
+/// A load command that asks for more replicas than this gets this many.
 const MAX_REPLICAS: u32 = 16;
 
 impl WorkerCore {
@@ -43,7 +43,7 @@
         self.finish_commands(function);
     }
 
-    /// A command to unload the idle replicas of a model.
+    /// Executes a command to unload the idle replicas of a model.
     pub(in crate::worker) fn unload(&mut self, now: Time, id: u64, function: &str) {
         self.on_time(now);
         if self.overloaded {
@@ -58,7 +58,7 @@
         self.finish_command(id, ready, Ok(()));
     }
 
-    /// The store has answered for a model.
+    /// Handles the store's answer to a fetch of a model.
     pub(in crate::worker) fn fetched(&mut self, now: Time, function: &str, succeeded: bool) {
         self.on_time(now);
         let end = now + self.settings.load;
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Queues a load, for which idle replicas of other models are unloaded; false where there is no memory for it.
+    /// Queues a load of a model. To make room, idle replicas of other models are unloaded, the longest idle first; false
+    /// if that does not free enough memory.
     pub(super) fn queue_load(&mut self, name: &str) -> bool {
         let needed = self
             .functions
@@ -132,7 +133,7 @@
         self.functions.values().map(FunctionState::memory_mb).sum()
     }
 
-    /// Begins queued loads, as far as the limit on loads at a time allows.
+    /// Begins queued loads, up to the limit on concurrent loads.
     pub(super) fn begin_loads(&mut self) {
         let functions = self.functions.values();
         let mut active_loads: usize = functions.map(|function| function.loads.len()).sum();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Finishes the commands of a model whose replicas are ready.
+    /// Finishes the load commands of a model whose requested replicas are ready.
     pub(super) fn finish_commands(&mut self, name: &str) {
         let Some(function) = self.functions.get_mut(name) else {
             return;
--- a/crates/pipithub-emulator/src/worker/core/requests.rs
+++ b/crates/pipithub-emulator/src/worker/core/requests.rs
@@ -5,16 +5,16 @@
 use super::super::settings::NANOS_PER_MS;
 use super::{InferenceRequest, Placement, Rejection, WorkerCore, WorkerEvent};
 
-/// The work of a request whose effect was there already.
+/// The work of a duplicate, which has no effect.
 const DUPLICATE_WORK: Time = NANOS_PER_MS;
-/// Requests above the overload bound that are put down to chance.
+/// The number of requests above the overload bound that are tolerated, since arrivals are random.
 const OVERLOAD_SLACK: f64 = 2.0;
 
 #[derive(Debug)]
 pub(super) struct RunningRequest {
     pub(super) id: u64,
     pub(super) function: String,
-    /// In nanoseconds at speed 1.
+    /// The remaining run time at speed 1, in nanoseconds.
     pub(super) remaining_work: f64,
     pub(super) placement: Placement,
     pub(super) concurrency: u32,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// The client has disconnected: a waiting request is dropped, a running one continues.
+    /// Handles the disconnection of a request's client: a waiting request is dropped, a running one continues.
     pub(in crate::worker) fn cancel(&mut self, now: Time, id: u64) {
         self.on_time(now);
         self.waiting.retain(|waiting| waiting.request.id != id);
     }
 
-    /// Requests of a model that wait.
+    /// The number of requests that wait for a model.
     fn waiting_for(&self, function: &str) -> u32 {
         self.waiting
             .iter()
@@ -117,7 +117,7 @@
         Err(Rejection::OutOfMemory)
     }
 
-    /// Requests that arrive while the worker warms up may overload it.
+    /// Counts an arrival. Too many of them while the worker warms up make it fail.
     fn check_overload(&mut self) {
         let now = self.now;
         let window = self.settings.overload_window;
--- a/crates/pipithub-emulator/src/worker/core/tests.rs
+++ b/crates/pipithub-emulator/src/worker/core/tests.rs
@@ -158,7 +158,8 @@
         ..WorkerSettings::default()
     };
     let mut worker = WorkerCore::new(cold.clone(), false, 0);
-    // 33 calls a second when warm, 0.3 of it cold: 2 x 10 x 2 s = 40 calls, and slack.
+    // A warm worker serves 33 requests per second, this one 0.3 of that at its start, which is 10. With the overload factor
+    // 2 and the window of 2 s, 2 x 10 x 2 = 40 requests are within the bound; the slack of 2 comes on top.
     (0..40).for_each(|n| worker.receive(n * NANOS_PER_MS, request(n, "f")));
     assert!(
         !worker
@@ -176,7 +177,7 @@
     let mut worker = WorkerCore::new(cold, false, 0);
     worker.receive(0, request(1, "f"));
     let at = outcome_of(&run_until(&mut worker, 5_000 * NANOS_PER_MS), 1)
-        .expect("served")
+        .expect("the request has ended")
         .0;
     assert!(at > 600 * NANOS_PER_MS, "{at}");
 }
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -17,9 +17,9 @@
 use super::server::{CancelGuard, PendingReply, QueuedName, Reply, Shared};
 use super::settings::NANOS_PER_MS;
 
-/// Bodies are taken up to this size.
+/// The maximum size of a request body; larger ones are rejected.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// A request states no more work than this, in milliseconds.
+/// The maximum work of a request, in milliseconds; a request that states more has this.
 const MAX_WORK_MS: f64 = 600_000.0;
 
 type HttpResponse = Response<Full<Bytes>>;
@@ -67,7 +67,7 @@
         Some(value.to_string())
     }
 
-    /// A header that is a number; 0 where it is missing or no number that can be used.
+    /// The value of a numeric header; 0 if it is missing, not a number or negative.
     fn number(&self, name: &str) -> f64 {
         self.text(name)
             .and_then(|value| value.parse::<f64>().ok())
@@ -79,7 +79,7 @@
         self.text(header::FRONT_END).unwrap_or_default()
     }
 
-    /// A response with the present load report.
+    /// Begins a response, with the current load report.
     fn response(&self, status: StatusCode) -> Builder {
         Response::builder()
             .status(status)
@@ -102,7 +102,7 @@
         finish(self.response(StatusCode::OK), Bytes::from(body))
     }
 
-    /// A command to load replicas of a model; 0 replicas: to unload the idle ones.
+    /// Executes a command to load replicas of a model, or with 0 replicas to unload its idle ones.
     async fn command(&self, escaped_model: &str, replicas: u32) -> io::Result<HttpResponse> {
         let Some(model) = unescape(escaped_model) else {
             return Ok(self.empty_response(StatusCode::BAD_REQUEST));
@@ -176,7 +176,7 @@
             self.release(key.as_deref()).await;
         }
         if self.shared.is_silent() {
-            // The work is done, the answer never leaves.
+            // The request has ended, but its answer is never sent.
             std::future::pending::<()>().await;
         }
         let status = inference_status(result);
@@ -195,7 +195,8 @@
         Ok(finish(response, echo(&model, document, body)))
     }
 
-    /// The workers of one store drop each other's duplicates: the key is claimed there before the request may run.
+    /// Claims the key of a request at the store before the request may run, so that the workers of one store drop each
+    /// other's duplicates. False if the key is already claimed.
     async fn claim(&self, key: Option<&str>) -> bool {
         match (&self.shared.store, key) {
             (Some(store), Some(key)) => {
@@ -205,14 +206,14 @@
         }
     }
 
-    /// Gives back the key of a request that did not run.
+    /// Releases the key of a request that did not run, so that a retry can run.
     async fn release(&self, key: Option<&str>) {
         if let (Some(store), Some(key)) = (&self.shared.store, key) {
             crate::store::release(store, key).await;
         }
     }
 
-    /// Hands a request to the core and waits until it is over; the records name it `name`.
+    /// Hands a request to the core and waits for the reply. `name` is the name of the request in records.
     async fn run(&self, inference: InferenceRequest, name: String) -> Option<Reply> {
         let pending = self.shared.act(|state, now| {
             let pending = state.register();
@@ -230,7 +231,7 @@
         self.reply(pending).await
     }
 
-    /// Waits for the core's reply; if the client disconnects meanwhile, its request is cancelled.
+    /// Waits for the core's reply. If the client disconnects meanwhile, its request is cancelled.
     async fn reply(&self, pending: PendingReply) -> Option<Reply> {
         let guard = CancelGuard::new(self.shared.clone(), pending.id);
         let reply = pending.receiver.await.ok();
@@ -279,13 +280,13 @@
     }
 }
 
-/// The work that a request states among its parameters.
+/// The work that a request states among its parameters, in nanoseconds.
 fn stated_work(document: Option<&Value>) -> Option<Time> {
     let ms = document?["parameters"]["work_ms"].as_f64()?;
     (ms >= 0.0).then(|| (ms.min(MAX_WORK_MS) * NANOS_PER_MS as f64) as Time)
 }
 
-/// A V2 request's inputs as outputs; any other body as it is.
+/// The body of a response: the inputs of a V2 request as its outputs, or any other body unchanged.
 fn echo(model: &str, document: Option<Value>, body: Bytes) -> Bytes {
     match document {
         Some(document) if document.get("inputs").is_some() => {
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -23,11 +23,11 @@
 pub(super) enum Reply {
     Inference {
         result: Result<Placement, Rejection>,
-        /// Requests for the same model that were in flight when it arrived.
+        /// The number of requests for the same model that were in flight when this one arrived.
         concurrency: u32,
     },
     Command {
-        /// Replicas that are ready.
+        /// The number of replicas that are ready.
         replicas: u32,
         result: Result<(), Rejection>,
     },
@@ -39,7 +39,7 @@
     pub(super) receiver: oneshot::Receiver<Reply>,
 }
 
-/// A request that waits to run, as it will be named in records.
+/// The names under which a queued request will be recorded when it starts to run.
 pub(super) struct QueuedName {
     pub(super) request: String,
     pub(super) key: Option<String>,
@@ -51,7 +51,7 @@
     next_id: u64,
     repliers: HashMap<u64, oneshot::Sender<Reply>>,
     pub(super) queued_names: HashMap<u64, QueuedName>,
-    /// Requests are accepted but not answered.
+    /// Whether inference requests run but are not answered.
     is_silent: bool,
 }
 
@@ -77,7 +77,9 @@
 pub(super) struct Shared {
     state: Mutex<State>,
     clock: Clock,
+    /// Wakes the timer, as its due time may have changed.
     timer: Notify,
+    /// Notified when the worker fails because of an overload.
     overloaded: Notify,
     recorder: Recorder,
     /// The worker's address, which identifies it in records.
@@ -147,7 +149,8 @@
         self.address
     }
 
-    /// Stops answering requests, or answers new ones again.
+    /// Stops answering inference requests, or answers them again. Requests that end while the worker is silent are never
+    /// answered.
     pub fn set_silent(&self, silent: bool) {
         self.shared.lock().is_silent = silent;
     }
@@ -248,7 +251,7 @@
     }
 }
 
-/// Cancels a request or a command whose client has disconnected.
+/// Cancels a request or a command when it is dropped before the reply, because the client has disconnected.
 pub(super) struct CancelGuard {
     shared: Arc<Shared>,
     id: u64,
--- a/crates/pipithub-emulator/src/worker/settings.rs
+++ b/crates/pipithub-emulator/src/worker/settings.rs
@@ -11,7 +11,7 @@
 pub struct WorkerSettings {
     /// The number of cores.
     pub cores: f64,
-    /// The speed of a core. At speed 1 a request runs as long as its work says.
+    /// The speed of a core. At speed 1 a request that has a core to itself runs for as long as its work states.
     pub speed: f64,
     /// Memory for replicas, in MB.
     pub memory_mb: f64,
@@ -23,7 +23,7 @@
     pub run: Time,
     /// Time of a load after the fetch from the store; the whole time if there is no store.
     pub load: Time,
-    /// How many loads run concurrently.
+    /// How many loads run concurrently; further ones are queued.
     pub max_concurrent_loads: usize,
     /// Time after which an idle replica is unloaded.
     pub keep_alive: Time,
@@ -38,7 +38,7 @@
     /// While the worker warms up, more requests than this multiple of its present capacity make it fail permanently;
     /// 0 for never.
     pub overload_factor: f64,
-    /// The window over which these requests are counted.
+    /// The window over which requests are counted for `overload_factor`.
     pub overload_window: Time,
 }
 
