--- a/crates/pipithub-emulator/src/broker/arguments.rs
+++ b/crates/pipithub-emulator/src/broker/arguments.rs
@@ -6,7 +6,7 @@
 
 use super::core::NANOS_PER_MS;
 
-/// The parsed arguments; unknown ones are ignored. `None` where the client gives none.
+/// The parsed arguments; unknown ones are ignored. A field is `None` if the client does not give the argument.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct QueueArguments {
     pub(super) message_ttl: Option<Time>,
--- a/crates/pipithub-emulator/src/broker/connection.rs
+++ b/crates/pipithub-emulator/src/broker/connection.rs
@@ -13,12 +13,12 @@
 
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// A connection from its first byte on.
+/// A client's connection, including its handshake.
 pub(super) struct BrokerConnection<'a> {
     shared: &'a Shared,
     id: ConnectionId,
     endpoint: Endpoint,
-    /// It has published, so nothing is read from it while the broker is blocked.
+    /// Whether the client has published. If so, nothing is read from the connection while the broker is blocked.
     is_publisher: bool,
     user: String,
 }
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Handles the client's events and moves the broker's outputs into the endpoint; false if the connection is cut.
+    /// Handles the client's events and moves the broker's outputs into the endpoint. False if the connection must be
+    /// dropped.
     fn collect_outputs(&mut self) -> bool {
         while let Some(event) = self.endpoint.poll_event() {
             self.handle_event(event);
@@ -174,7 +175,7 @@
             Ok(())
         }
     };
-    // A channel that its peer has closed in the meantime accepts no output, which is then void.
+    // The client may have closed the channel in the meantime; the output is then dropped.
     if let Err(error) = sent {
         debug!(%error, "failed to send to a closed channel");
     }
--- a/crates/pipithub-emulator/src/broker/consume.rs
+++ b/crates/pipithub-emulator/src/broker/consume.rs
@@ -1,4 +1,4 @@
-//! The basic class towards consumers: quality of service, consuming, fetching single messages, recovery.
+//! The basic class for consumers: quality of service, consuming, fetching single messages, recovery.
 
 use pipithub_amqp::{Code, Fault, Method, ShortStr};
 
@@ -6,7 +6,7 @@
 use super::dispatch::{Reply, not_implemented};
 use super::entities::{ChannelKey, Consumer, ConsumerKey, Unacked};
 
-/// A `basic.consume`, without its reply's form.
+/// The supported parameters of a `basic.consume`, except `no-wait`.
 struct Subscription {
     queue: ShortStr,
     tag: ShortStr,
@@ -80,7 +80,7 @@
         self.pending_delivery.extend(queues);
     }
 
-    /// Begins a consumer; its tag.
+    /// Starts a consumer and returns its tag.
     fn begin_consumer(
         &mut self,
         at: ChannelKey,
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Ends a consumer; an auto-delete queue is deleted with its last one.
+    /// Ends a consumer. An auto-delete queue is deleted with its last consumer.
     pub(super) fn end_consumer(&mut self, at: ChannelKey, tag: &ShortStr) {
         let Some(consumer) = self
             .channel(at)
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Fetches the first message of a queue.
+    /// Sends the first message of a queue as the reply to a `basic.get`.
     fn get(&mut self, at: ChannelKey, name: ShortStr, no_ack: bool) -> Reply {
         self.usable_queue(at.connection, &name)?;
         self.expire_messages(&name);
--- a/crates/pipithub-emulator/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -46,7 +46,7 @@
     pub output: BrokerOutput,
 }
 
-/// How much a broker holds.
+/// The limits on what a broker holds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The length of a queue without `x-max-length`, in messages. Beyond it the oldest message is dropped or
@@ -78,6 +78,7 @@
     /// Why publishers are blocked; `None` while they are not.
     pub(super) blocked: Option<String>,
     pub(super) last_message_number: u64,
+    /// The number of names generated so far.
     generated_names: u64,
     outputs: Vec<Outgoing>,
     records: Vec<Seen>,
@@ -131,7 +132,7 @@
         Some((ready, unacked))
     }
 
-    /// Declares a durable queue, as an operator would beforehand.
+    /// Declares a durable queue, as an operator does before clients connect. An existing queue is kept.
     pub fn declare(&mut self, queue: &str, arguments: &FieldTable) {
         let properties = QueueProperties {
             durable: true,
@@ -152,7 +153,7 @@
         heads.chain(queues).min()
     }
 
-    /// Lets messages and queues expire that are due.
+    /// Removes messages and queues that have expired, and delivers messages.
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         let due: Vec<ShortStr> = self
@@ -181,7 +182,7 @@
             .get_mut(&at.number)
     }
 
-    /// The name of a connection in the records; empty where the connection is unknown.
+    /// The name of a connection in records; empty if the connection is unknown.
     pub(super) fn client_name(&self, connection: ConnectionId) -> String {
         self.connections
             .get(&connection)
--- a/crates/pipithub-emulator/src/broker/dead_letter.rs
+++ b/crates/pipithub-emulator/src/broker/dead_letter.rs
@@ -6,13 +6,13 @@
 use super::entities::Message;
 
 const DEATHS_HEADER: &str = "x-death";
-/// A message that has died so often is dropped.
+/// A message that has been dead-lettered this often is dropped.
 const MAX_DEATHS: usize = 16;
-/// The reason of a death by `basic.reject` or `basic.nack`.
+/// The reason for dead-lettering a message after a `basic.reject` or `basic.nack`.
 pub(super) const REJECTED: &str = "rejected";
 
 impl Broker {
-    /// Takes expired messages from the head of a queue to its dead letters.
+    /// Removes expired messages from the head of a queue and dead-letters them.
     pub(super) fn expire_messages(&mut self, name: &ShortStr) {
         let now = self.now;
         let mut expired = Vec::new();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Publishes a message to the dead-letter exchange of its queue, or drops it where there is none.
+    /// Publishes a message to the dead-letter exchange of its queue, or drops it if there is none.
     pub(super) fn dead_letter(&mut self, queue: &ShortStr, mut message: Message, reason: &str) {
         let Some(found) = self.queues.get(queue) else {
             return;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Enters a death into the message's headers; false where the message is to be dropped instead.
+/// Adds an entry to the `x-death` header of a message; false if the message must be dropped instead.
 fn add_death(message: &mut Message, queue: &ShortStr, reason: &str) -> bool {
     let properties = &mut message.content.properties;
     let mut headers = properties.headers.take().unwrap_or_default();
--- a/crates/pipithub-emulator/src/broker/delivery.rs
+++ b/crates/pipithub-emulator/src/broker/delivery.rs
@@ -9,7 +9,7 @@
 use super::entities::{Connection, ConnectionId, ConsumerKey, Message, Unacked};
 
 impl Broker {
-    /// Delivers from each queue that may have something to deliver, as far as its consumers take it.
+    /// Delivers the messages of all queues with pending deliveries, as far as their consumers have capacity.
     pub(super) fn deliver(&mut self) {
         while let Some(queue) = self.pending_delivery.pop_first() {
             self.expire_messages(&queue);
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Delivers the first message of a queue; false where there is none, or no consumer for it.
+    /// Delivers the first message of a queue; false if there is no message or no consumer with capacity.
     fn deliver_next(&mut self, name: &ShortStr) -> bool {
         let Some(consumer) = self.next_consumer(name) else {
             return false;
@@ -33,7 +33,7 @@
         true
     }
 
-    /// The next consumer in turn that can take a message of the queue, if that has any.
+    /// The next consumer in turn that has capacity; `None` if there is none, or the queue is empty.
     fn next_consumer(&mut self, name: &ShortStr) -> Option<ConsumerKey> {
         let queue = self.queues.get_mut(name)?;
         if queue.messages.is_empty() {
--- a/crates/pipithub-emulator/src/broker/dispatch.rs
+++ b/crates/pipithub-emulator/src/broker/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each method of a client to the part of the virtual host that carries it out.
+//! Dispatches each method of a client to the part of the virtual host that executes it.
 
 use pipithub_amqp::{Code, Content, Fault, Method};
 
@@ -14,11 +14,11 @@
     pub(super) const TX: u16 = 90;
 }
 
-/// The reply to a method; `None` where none is sent.
+/// The reply to a method; `None` if no reply is sent, or if it has been sent already.
 pub(super) type Reply = Result<Option<Method>, Fault>;
 
 impl Broker {
-    /// Carries out a method of a client and sends the reply; the fault names the method that caused it.
+    /// Executes a method of a client and sends the reply. A fault holds the ids of the method that caused it.
     pub(super) fn apply(
         &mut self,
         at: ChannelKey,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The fault for a method that the broker does not carry out.
+/// The fault for a method that the broker does not support.
 pub(super) fn not_implemented(method: &Method) -> Fault {
     Fault::new(
         Code::NotImplemented,
--- a/crates/pipithub-emulator/src/broker/entities.rs
+++ b/crates/pipithub-emulator/src/broker/entities.rs
@@ -10,14 +10,14 @@
 /// The number of a connection; numbers are not reused.
 pub type ConnectionId = u64;
 
-/// Names a channel of a connection.
+/// Identifies a channel of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ChannelKey {
     pub(super) connection: ConnectionId,
     pub(super) number: u16,
 }
 
-/// Names a consumer of a channel.
+/// Identifies a consumer of a channel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ConsumerKey {
     pub(super) channel: ChannelKey,
@@ -30,8 +30,9 @@
     pub(super) routing_key: ShortStr,
     pub(super) content: Content,
     pub(super) redelivered: bool,
+    /// When the message expires; `None` for never.
     pub(super) expires: Option<Time>,
-    /// Rises with each publish, so that a requeued message finds its former place.
+    /// Increases with each publish, so that a requeued message returns to its former position.
     pub(super) number: u64,
 }
 
@@ -48,7 +49,7 @@
     Topic,
 }
 
-/// What an exchange is declared with.
+/// The properties that an exchange is declared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ExchangeProperties {
     pub(super) kind: ExchangeKind,
@@ -94,12 +95,12 @@
     }
 }
 
-/// What a queue is declared with.
+/// The properties that a queue is declared with.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct QueueProperties {
     pub(super) durable: bool,
     pub(super) auto_delete: bool,
-    /// The connection that an exclusive queue belongs to.
+    /// The connection that an exclusive queue belongs to; `None` if the queue is not exclusive.
     pub(super) owner: Option<ConnectionId>,
     pub(super) arguments: QueueArguments,
 }
@@ -108,7 +109,7 @@
 pub(super) struct Queue {
     pub(super) properties: QueueProperties,
     pub(super) messages: VecDeque<Message>,
-    /// In the order of their turns.
+    /// The consumers of the queue; the first is the next in turn.
     pub(super) consumers: VecDeque<ConsumerKey>,
     pub(super) had_consumers: bool,
     pub(super) unused_since: Time,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// When its oldest message expires.
+    /// When the first message of the queue expires; `None` if there is none or it never expires.
     pub(super) fn head_expiry(&self) -> Option<Time> {
         self.messages.front()?.expires
     }
@@ -134,7 +135,7 @@
         self.head_expiry().is_some_and(|expires| expires <= now)
     }
 
-    /// When the queue itself expires, while it has no consumers.
+    /// When the queue itself expires; `None` while it has consumers, or if it never expires.
     pub(super) fn own_expiry(&self) -> Option<Time> {
         if !self.consumers.is_empty() {
             return None;
@@ -168,7 +169,7 @@
 pub(super) struct Unacked {
     pub(super) queue: ShortStr,
     pub(super) message: Message,
-    /// `None`: it was fetched by `basic.get`.
+    /// The consumer that it was delivered to; `None` if it was fetched by `basic.get`.
     pub(super) consumer: Option<ShortStr>,
 }
 
@@ -177,14 +178,15 @@
     pub(super) consumers: BTreeMap<ShortStr, Consumer>,
     pub(super) unacked: BTreeMap<u64, Unacked>,
     pub(super) last_delivery_tag: u64,
-    /// The prefetch limit of each consumer that begins from now on; 0: none.
+    /// The prefetch limit of each consumer that starts from now on; 0 for no limit.
     pub(super) prefetch: u16,
-    /// The prefetch limit over all consumers of the channel; 0: none.
+    /// The prefetch limit over all consumers of the channel; 0 for no limit.
     pub(super) prefetch_global: u16,
+    /// The open transaction; `None` if the channel is not transactional.
     pub(super) transaction: Option<Transaction>,
-    /// In confirm mode, the number of the last publish.
+    /// The number of the last publish in confirm mode; `None` if the channel is not in confirm mode.
     pub(super) last_confirm: Option<u64>,
-    /// The client asked by `channel.flow` for no further content.
+    /// Whether the client has stopped deliveries by `channel.flow`.
     pub(super) flow_stopped: bool,
 }
 
@@ -213,10 +215,10 @@
 #[derive(Debug, Default)]
 pub(super) struct Connection {
     pub(super) channels: BTreeMap<u16, Channel>,
-    /// Its output waits to be written: no further messages are delivered to it.
+    /// Whether too much output waits to be written, so that no further messages are delivered.
     pub(super) congested: bool,
-    /// Its name in the records.
+    /// The name of the connection in records.
     pub(super) client: String,
-    /// Whom it logged in as.
+    /// The user that the client logged in as.
     pub(super) user: String,
 }
--- a/crates/pipithub-emulator/src/broker/publish.rs
+++ b/crates/pipithub-emulator/src/broker/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: the checks of `basic.publish`, routing to queues, and the record of it.
+//! Publishing: the checks of `basic.publish`, routing to queues, and the records of publishes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use super::entities::{ChannelKey, Message};
 use super::exchange::no_exchange;
 
-/// Headers whose names begin so are recorded.
+/// Headers whose names begin with this prefix are recorded.
 const RECORDED_HEADERS: &str = "pipithub-";
 
 /// A message that a client publishes.
@@ -78,7 +78,7 @@
             .map_or("", |connection| connection.user.as_str());
         let user_id = properties.user_id.as_deref();
         if let Some(claimed) = user_id.filter(|claimed| *claimed != user) {
-            // As RabbitMQ checks it: a client cannot publish under another user's name.
+            // As in RabbitMQ, a client cannot publish under another user's name.
             let text =
                 format!("user_id property set to '{claimed}' but authenticated user was '{user}'");
             return Err(Fault::new(Code::PreconditionFailed, text));
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Puts a message into the queues that it reaches; a mandatory one that reaches none is returned.
+    /// Appends a message to the queues that it is routed to. A mandatory message that is routed to none is returned.
     pub(super) fn publish(&mut self, at: ChannelKey, publication: Publication) {
         let queues = self.route(&publication.exchange, &publication.routing_key);
         self.record_published(at, &queues, &publication);
@@ -151,7 +151,7 @@
         self.record(published);
     }
 
-    /// Appends a message to a queue; where that grows too long, its oldest message is dead-lettered.
+    /// Appends a message to a queue. If the queue is then too long, its oldest message is dead-lettered.
     pub(super) fn enqueue(&mut self, name: &ShortStr, mut message: Message) {
         let now = self.now;
         let Some(queue) = self.queues.get_mut(name) else {
--- a/crates/pipithub-emulator/src/broker/queue.rs
+++ b/crates/pipithub-emulator/src/broker/queue.rs
@@ -7,7 +7,7 @@
 use super::dispatch::{Reply, not_implemented};
 use super::entities::{Binding, BindingTarget, ChannelKey, ConnectionId, Queue, QueueProperties};
 
-/// A `queue.declare`, without its reply's form.
+/// The parameters of a `queue.declare`, except `no-wait`.
 struct Declaration {
     queue: ShortStr,
     passive: bool,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The queue, where this connection may use it.
+    /// The queue of this name; a fault if there is none or it is exclusive to another connection.
     pub(super) fn usable_queue(
         &self,
         connection: ConnectionId,
@@ -149,7 +149,7 @@
         Ok(())
     }
 
-    /// Drops all messages that are ready; how many there were.
+    /// Drops all messages of a queue that are ready, and returns their number.
     fn purge_queue(&mut self, connection: ConnectionId, name: &ShortStr) -> Result<u32, Fault> {
         self.usable_queue(connection, name)?;
         let purged = self
@@ -159,7 +159,7 @@
         Ok(purged.unwrap_or(0) as u32)
     }
 
-    /// Checks a `queue.delete`; deleting an unknown queue succeeds, as in `RabbitMQ`.
+    /// Checks whether a `queue.delete` is allowed. Deleting an unknown queue succeeds, as in `RabbitMQ`.
     fn require_deletable(
         &self,
         connection: ConnectionId,
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Deletes a queue with its bindings and cancels its consumers; how many messages were ready.
+    /// Deletes a queue with its bindings and cancels its consumers. Returns the number of messages that were ready.
     pub(super) fn delete_queue(&mut self, name: &ShortStr) -> u32 {
         let Some(queue) = self.queues.remove(name) else {
             return 0;
--- a/crates/pipithub-emulator/src/broker/routing.rs
+++ b/crates/pipithub-emulator/src/broker/routing.rs
@@ -1,4 +1,4 @@
-//! Which queues a message reaches.
+//! Routing of messages from exchanges to queues.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use super::topic::topic_matches;
 
 impl Broker {
-    /// The queues that a message reaches, through bindings between exchanges too.
+    /// The queues that a message is routed to, also through bindings between exchanges.
     pub(super) fn route(&self, exchange: &ShortStr, key: &ShortStr) -> BTreeSet<ShortStr> {
         if exchange.is_empty() {
             return self
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -19,7 +19,7 @@
 
 /// A connection with more unwritten bytes than this gets no further messages until they are written.
 const CONGESTION_BYTES: usize = 4 << 20;
-/// The bytes that a method counts in addition to its content.
+/// The number of bytes that each method counts in addition to the body of its content.
 const METHOD_BYTES: usize = 256;
 /// The maximum number of connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 4096;
@@ -35,7 +35,7 @@
     pub virtual_host: String,
     /// The limits that the broker proposes to clients.
     pub tuning: Tuning,
-    /// How many messages, queues and exchanges it holds.
+    /// The limits on messages, queues and exchanges.
     pub bounds: Bounds,
     /// Durable queues that exist from the start, with their arguments.
     pub queues: Vec<(String, FieldTable)>,
@@ -60,9 +60,11 @@
 /// The outputs that wait to be sent on a connection.
 pub(super) struct Outbox {
     pub(super) outputs: VecDeque<BrokerOutput>,
+    /// The size of the outputs that were added since the connection last took its outputs.
     pub(super) bytes: usize,
+    /// Wakes the task of the connection.
     notify: Arc<Notify>,
-    /// The connection is to be dropped without a closing handshake.
+    /// Whether the connection must be dropped without a closing handshake.
     pub(super) cut: bool,
 }
 
@@ -98,6 +100,7 @@
     pub(super) settings: BrokerSettings,
     pub(super) clock: Clock,
     state: Mutex<State>,
+    /// Wakes the timer, as its due time may have changed.
     timer: Notify,
     /// The broker's address, which identifies it in records.
     address: String,
--- a/crates/pipithub-emulator/src/broker/session.rs
+++ b/crates/pipithub-emulator/src/broker/session.rs
@@ -1,4 +1,4 @@
-//! Connections and channels of a virtual host: their beginning, their events, their end.
+//! Connections and channels of a virtual host: how they open, handle events and close.
 
 use pipithub_amqp::{Event, Fault, Method, ShortStr, Time};
 use pipithub_conformance::record::Seen;
@@ -13,7 +13,7 @@
 const CONNECTION_CHANNEL: u16 = 0;
 
 impl Broker {
-    /// A connection is open; `client` is its name for the records, `user` whom it logged in as.
+    /// Adds an open connection. `client` is its name in records, `user` the user that it logged in as.
     pub fn connect(&mut self, id: ConnectionId, client: &str, user: &str) {
         let connection = Connection {
             client: client.to_string(),
@@ -27,7 +27,8 @@
         }
     }
 
-    /// The output of a connection waits to be written, or no longer does.
+    /// Sets whether a connection is congested, which means that too much output waits to be written. No messages are
+    /// delivered to a congested connection.
     pub fn set_congested(&mut self, now: Time, id: ConnectionId, congested: bool) {
         self.now = now;
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Tells all clients that publishes are not taken for now (`Some`), or are taken again.
+    /// Blocks publishers for a reason, or unblocks them (`None`), and notifies all clients.
     pub fn set_blocked(&mut self, reason: Option<&str>) {
         self.blocked = reason.map(str::to_string);
         let method = match reason {
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Whether publishers are to be held back.
+    /// Whether publishers are blocked.
     pub fn is_blocked(&self) -> bool {
         self.blocked.is_some()
     }
 
-    /// A connection has ended: all that it had not acknowledged is requeued, its exclusive queues are deleted.
+    /// Removes a connection that has ended. Its unacknowledged messages are requeued, its exclusive queues deleted.
     pub fn disconnect(&mut self, now: Time, id: ConnectionId) {
         self.now = now;
         let Some(connection) = self.connections.get(&id) else {
@@ -92,7 +93,7 @@
         self.deliver();
     }
 
-    /// Takes an event of a connection that is open.
+    /// Handles an event of an open connection.
     pub fn handle(&mut self, now: Time, id: ConnectionId, event: Event) {
         self.now = now;
         let key = |number| ChannelKey {
@@ -147,7 +148,7 @@
         self.pending_delivery.extend(queues);
     }
 
-    /// Closes the connection or the channel, whichever the fault ends.
+    /// Closes the connection or only the channel, depending on the reply code of the fault.
     fn close_after(&mut self, at: ChannelKey, fault: Fault) {
         let output = if CONNECTION_FAULTS.contains(&fault.code) {
             BrokerOutput::CloseConnection(fault)
--- a/crates/pipithub-emulator/src/broker/settle.rs
+++ b/crates/pipithub-emulator/src/broker/settle.rs
@@ -8,17 +8,17 @@
 use super::dispatch::{Reply, not_implemented};
 use super::entities::{Channel, ChannelKey, Message, Unacked};
 
-/// What a client makes of a delivery.
+/// How a client settles a delivery.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Settlement {
     Acknowledge,
     Reject {
-        /// Back to the queue, not to the dead letters.
+        /// Whether the message returns to its queue instead of being dead-lettered.
         requeue: bool,
     },
 }
 
-/// A settlement with the delivery that it is for.
+/// A settlement with the tag of its delivery.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TagSettlement {
     pub(super) delivery_tag: u64,
@@ -68,7 +68,7 @@
         Ok(None)
     }
 
-    /// Carries out a settlement.
+    /// Executes a settlement.
     pub(super) fn settle(&mut self, at: ChannelKey, settlement: TagSettlement) {
         let client = self.client_name(at.connection);
         let Some(channel) = self.channel(at) else {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Puts a message back where it was, for another delivery.
+    /// Returns a message to its former position in the queue, marked as redelivered.
     fn requeue(&mut self, name: &ShortStr, mut message: Message) {
         message.redelivered = true;
         let Some(queue) = self.queues.get_mut(name) else {
@@ -114,7 +114,7 @@
         self.pending_delivery.insert(name.clone());
     }
 
-    /// Requeues all that a channel has not acknowledged.
+    /// Requeues all unacknowledged messages of a channel.
     pub(super) fn requeue_all(&mut self, at: ChannelKey) {
         let Some(channel) = self.channel(at) else {
             return;
@@ -128,7 +128,7 @@
     }
 }
 
-/// The deliveries that a method settles, those left out that the open transaction has settled already.
+/// The tags of the deliveries that a method settles, except those that the open transaction has settled already.
 fn tags_to_settle(channel: &Channel, delivery_tag: u64, multiple: bool) -> Vec<u64> {
     let is_open = |tag: &u64| {
         let transaction = channel.transaction.as_ref();
--- a/crates/pipithub-emulator/src/broker/topic.rs
+++ b/crates/pipithub-emulator/src/broker/topic.rs
@@ -1,10 +1,10 @@
 //! Matching routing keys against the patterns of topic exchanges.
 
-/// Whether a key matches a topic pattern: `*` is one word, `#` any number of them.
+/// Whether a key matches a topic pattern, where `*` stands for one word and `#` for any number of words.
 pub(super) fn topic_matches(pattern: &str, key: &str) -> bool {
     let words: Vec<&str> = key.split('.').collect();
-    // `matched[n]`: the pattern's words so far match the first `n` words of the key. Many `#` cost no more than pattern
-    // times key.
+    // `matched[n]` states whether the words of the pattern so far match the first `n` words of the key. The time is
+    // proportional to the product of both lengths, even with many `#`.
     let mut matched = vec![false; words.len() + 1];
     matched[0] = true;
     for pattern_word in pattern.split('.') {
--- a/crates/pipithub-emulator/src/broker/transaction.rs
+++ b/crates/pipithub-emulator/src/broker/transaction.rs
@@ -10,7 +10,7 @@
 use super::publish::Publication;
 use super::settle::TagSettlement;
 
-/// What a channel has collected since its last commit or rollback.
+/// The publishes and settlements of a channel since its last commit or rollback.
 #[derive(Debug, Default)]
 pub(super) struct Transaction {
     pub(super) publications: Vec<Publication>,
@@ -64,7 +64,7 @@
         Ok(Some(Method::TxRollbackOk {}))
     }
 
-    /// Publishes and settlements take effect together, since no other event is handled in between.
+    /// Executes the open transaction. Its parts take effect together, since no other event is handled in between.
     fn commit(&mut self, at: ChannelKey) -> Reply {
         let transaction = self.take_transaction(at)?;
         for publication in transaction.publications {
@@ -76,7 +76,7 @@
         Ok(Some(Method::TxCommitOk {}))
     }
 
-    /// Takes what the open transaction has collected and leaves an empty one.
+    /// Takes the open transaction and leaves an empty one; a fault if the channel is not transactional.
     fn take_transaction(&mut self, at: ChannelKey) -> Result<Transaction, Fault> {
         self.channel(at)
             .and_then(|channel| channel.transaction.as_mut())
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -233,8 +233,8 @@
         index
     }
 
-    /// Publishes an event with this text. `snapshot` is the text of the event that lists all workers, for front ends that
-    /// missed events that are no longer kept.
+    /// Publishes an event with this text. `snapshot` is the text of the event that lists all workers, for front ends
+    /// that missed events that are no longer kept.
     pub fn publish_text(&self, index: u64, text: &str, snapshot: &str) {
         let event = FramedEvent::new(index, text);
         let snapshot = FramedEvent::new(index, snapshot);
--- a/crates/pipithub-emulator/src/coordinator/tier.rs
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -51,8 +51,8 @@
         &self.hosts
     }
 
-    /// Replaces a worker by a new one and returns the deletion and the addition for an event; none if there is no worker
-    /// at the index.
+    /// Replaces a worker by a new one and returns the deletion and the addition for an event; none if there is no
+    /// worker at the index.
     pub fn replace(&mut self, index: usize) -> Vec<Value> {
         let Some(old) = self.hosts.get(index).cloned() else {
             return Vec::new();
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -26,7 +26,8 @@
 pub struct StoreSettings {
     /// The time of a fetch at full speed.
     pub fetch: Duration,
-    /// How many concurrent fetches run at full speed. A fetch that begins while there are more takes longer in proportion.
+    /// How many concurrent fetches run at full speed. A fetch that begins while there are more takes longer in
+    /// proportion.
     pub full_speed_fetches: usize,
     /// How many concurrent fetches are accepted; further ones are rejected.
     pub max_fetches: usize,
@@ -155,8 +156,8 @@
 impl StoreServer {
     /// Starts a store on an address. Its protocol has one command per line, each answered by `ok` or `no`: `GET name`
     /// fetches a model, `KEY ms key` claims a key for a number of milliseconds, `UNKEY key` releases it, `SLOW factor`
-    /// multiplies the time of fetches, `HALT` rejects all fetches, `GO` accepts them again. Fails if the address cannot be
-    /// bound.
+    /// multiplies the time of fetches, `HALT` rejects all fetches, `GO` accepts them again. Fails if the address cannot
+    /// be bound.
     pub async fn start(listen: SocketAddr, settings: StoreSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -227,7 +228,8 @@
     matches!(send_line(address, &line).await.as_deref(), Ok(OK))
 }
 
-/// Claims a key for a request; false if another request has claimed it. If the store does not answer, the result is true.
+/// Claims a key for a request; false if another request has claimed it. If the store does not answer, the result is
+/// true.
 pub(crate) async fn claim(address: &str, key: &str, window: Duration) -> bool {
     let line = format!("KEY {} {}", window.as_millis(), one_line(key));
     !matches!(send_line(address, &line).await.as_deref(), Ok(NO))
--- a/crates/pipithub-emulator/src/worker/core/loads.rs
+++ b/crates/pipithub-emulator/src/worker/core/loads.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Queues a load of a model. To make room, idle replicas of other models are unloaded, the longest idle first; false
-    /// if that does not free enough memory.
+    /// Queues a load of a model. To make room, idle replicas of other models are unloaded, the longest idle first.
+    /// False if that does not free enough memory.
     pub(super) fn queue_load(&mut self, name: &str) -> bool {
         let needed = self
             .functions
--- a/crates/pipithub-emulator/src/worker/core/tests.rs
+++ b/crates/pipithub-emulator/src/worker/core/tests.rs
@@ -158,8 +158,8 @@
         ..WorkerSettings::default()
     };
     let mut worker = WorkerCore::new(cold.clone(), false, 0);
-    // A warm worker serves 33 requests per second, this one 0.3 of that at its start, which is 10. With the overload factor
-    // 2 and the window of 2 s, 2 x 10 x 2 = 40 requests are within the bound; the slack of 2 comes on top.
+    // A warm worker serves 33 requests per second, this one 0.3 of that at its start, which is 10. With an overload
+    // factor of 2 and a window of 2 s, the bound is 2 x 10 x 2 = 40 requests, and a slack of 2 comes on top.
     (0..40).for_each(|n| worker.receive(n * NANOS_PER_MS, request(n, "f")));
     assert!(
         !worker
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -149,8 +149,8 @@
         self.address
     }
 
-    /// Stops answering inference requests, or answers them again. Requests that end while the worker is silent are never
-    /// answered.
+    /// Stops answering inference requests, or answers them again. Requests that end while the worker is silent are
+    /// never answered.
     pub fn set_silent(&self, silent: bool) {
         self.shared.lock().is_silent = silent;
     }
--- a/crates/pipithub-emulator/tests/accept.rs
+++ b/crates/pipithub-emulator/tests/accept.rs
@@ -57,10 +57,13 @@
             (Some("connection"), 51),
             "{errno}"
         );
-        assert!(waited >= Duration::from_millis(50), "{errno}: it spins");
+        assert!(
+            waited >= Duration::from_millis(50),
+            "{errno}: retried without a delay"
+        );
         assert!(
             waited <= Duration::from_secs(5),
-            "{errno}: it sleeps too long: {waited:?}"
+            "{errno}: retried with too long a delay: {waited:?}"
         );
     }
 }
--- a/crates/pipithub-emulator/tests/lapin.rs
+++ b/crates/pipithub-emulator/tests/lapin.rs
@@ -79,10 +79,12 @@
 }
 
 async fn next(consumer: &mut Consumer) -> lapin::message::Delivery {
-    let next = tokio::time::timeout(Duration::from_secs(20), consumer.next())
+    let delivery = tokio::time::timeout(Duration::from_secs(20), consumer.next())
         .await
-        .expect("in time");
-    next.expect("the consumer runs").expect("a delivery")
+        .expect("a delivery in time");
+    delivery
+        .expect("the consumer still runs")
+        .expect("a delivery without an error")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -225,7 +227,7 @@
     assert_eq!(&next(&mut dead_letters).await.data[..], b"bad");
 }
 
-/// Declares a queue without arguments; the error is that of the broker.
+/// Declares a queue without arguments; returns the broker's error if it fails.
 async fn try_declare(
     channel: &Channel,
     queue: &str,
--- a/crates/pipithub-emulator/tests/relay.rs
+++ b/crates/pipithub-emulator/tests/relay.rs
@@ -4,6 +4,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
+/// A relay, the socket that sends to it, the socket that it forwards to, and the sizes of the datagrams that it gets.
 async fn relay_with_sockets() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
     let (sender, seen) = mpsc::unbounded_channel();
     let relay = Relay::start(1, move |b| {
