--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -129,7 +129,7 @@
     }
 
     /// The events after the index `last`. They are replaced by one snapshot if some of them are no longer kept, or if a
-    /// new stream has not received any event yet.
+    /// new stream starts at index 0.
     fn since(&self, last: u64, is_new: bool) -> Vec<FramedEvent> {
         if last >= self.last {
             return Vec::new();
--- a/crates/pipithub-emulator/src/worker/settings.rs
+++ b/crates/pipithub-emulator/src/worker/settings.rs
@@ -11,7 +11,8 @@
 pub struct WorkerSettings {
     /// The number of cores.
     pub cores: f64,
-    /// The speed of a core. At speed 1 a request that has a core to itself runs for as long as its work states.
+    /// The speed of a core. At speed 1, a request with a core of its own runs on a warm worker for as long as its work
+    /// states.
     pub speed: f64,
     /// Memory for replicas, in MB.
     pub memory_mb: f64,
