--- a/crates/pipithub-emulator/src/list/slice.rs
+++ b/crates/pipithub-emulator/src/list/slice.rs
@@ -10,6 +10,7 @@
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
+// `POST /control/worker` answers with this name in the text of a parse error.
 #[serde(rename = "Listed")]
 pub struct ListedWorker {
     /// The worker's IP address.
