--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -10,7 +10,7 @@
     /// Performs the action of one line of a reply.
     pub(super) fn perform(&mut self, line: &str) {
         let parts: Vec<&str> = line.split(' ').collect();
-        let number = |place: usize| parts[place].parse::<u64>().expect("a number in an action");
+        let number = |index: usize| parts[index].parse::<u64>().expect("a number in an action");
         let front_end = number(1) as usize;
         self.transcript
             .count(&format!("out {}", action_kind(&parts)));
@@ -84,10 +84,11 @@
             sent: now,
             ended: false,
         });
-        let is_moot = request.settled || request.streaming || attempt >= self.settings.max_attempts;
+        let is_obsolete =
+            request.settled || request.streaming || attempt >= self.settings.max_attempts;
         let (function, is_streamed, deadline) =
             (request.function, request.stream, request.deadline);
-        let mut result = if is_moot {
+        let mut result = if is_obsolete {
             AttemptResult::new("N", self.settings.granularity, 0)
         } else {
             self.draw_result(worker, function)
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -77,7 +77,7 @@
 
     /// No client sends for a while, so that the node sees idle connections.
     fn pause_clients(&mut self) {
-        self.silent_until = self.now + self.random.between(500, 2_600) * MILLISECOND;
+        self.clients_silent_until = self.now + self.random.between(500, 2_600) * MILLISECOND;
     }
 
     pub(super) fn client_sends(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -17,7 +17,7 @@
 /// No node needs longer than this to shut down.
 const MAX_STOP_TIME: u64 = 10 * SECOND;
 /// Calls are still accepted for a while after the shutdown begins: workers stop responding shortly before that ends.
-const SILENT_AFTER_STOP: u64 = 600 * MILLISECOND;
+const WORKERS_RESPOND_AFTER_STOP: u64 = 600 * MILLISECOND;
 
 /// Times after which idle connections break when they are used again; in most scenarios they never do.
 const IDLE_BREAK_TIMES: [u64; 5] = [
@@ -86,7 +86,7 @@
     pub(super) worker_connections: BTreeMap<u64, WorkerConnection>,
     /// Addresses of workers that do not respond.
     pub(super) unresponsive_addresses: BTreeSet<String>,
-    pub(super) silent_until: u64,
+    pub(super) clients_silent_until: u64,
     /// Names of calls that have ended.
     pub(super) ended_calls: VecDeque<String>,
     /// The mean time between two actions of clients.
@@ -108,7 +108,7 @@
     world.record_input("stop", "stop".to_string());
     world.node.stop(world.now);
     let latest_stop = world.now + MAX_STOP_TIME;
-    world.run_until(world.now + SILENT_AFTER_STOP, |_| false);
+    world.run_until(world.now + WORKERS_RESPOND_AFTER_STOP, |_| false);
     if world.random.per_mille(500) {
         world.make_all_unresponsive();
     }
@@ -144,7 +144,7 @@
             clients: BTreeMap::new(),
             worker_connections: BTreeMap::new(),
             unresponsive_addresses: BTreeSet::new(),
-            silent_until: 0,
+            clients_silent_until: 0,
             ended_calls: VecDeque::new(),
             idle_break_after: random.pick(&IDLE_BREAK_TIMES),
             duration: timing.duration,
@@ -191,8 +191,9 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::ClientActs if self.now < self.silent_until => {
-                self.schedule.add(self.silent_until, Event::ClientActs);
+            Event::ClientActs if self.now < self.clients_silent_until => {
+                self.schedule
+                    .add(self.clients_silent_until, Event::ClientActs);
             }
             Event::ClientActs => self.client_acts(),
             Event::EndpointsChange => self.change_endpoints(),
--- a/crates/pipithub-characterization/src/schedule.rs
+++ b/crates/pipithub-characterization/src/schedule.rs
@@ -4,7 +4,7 @@
 
 /// The position of an event in the queue. The derived order compares the time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct EventKey {
     due: u64,
     /// Counts insertions, so that events due at the same time keep their order.
     sequence: u64,
@@ -13,7 +13,7 @@
 /// Events by the time in nanoseconds at which they are due.
 #[derive(Debug)]
 pub struct Schedule<T> {
-    events: BTreeMap<Place, T>,
+    events: BTreeMap<EventKey, T>,
     inserted: u64,
 }
 
@@ -31,12 +31,12 @@
     pub fn add(&mut self, due: u64, event: T) {
         self.inserted += 1;
         let sequence = self.inserted;
-        self.events.insert(Place { due, sequence }, event);
+        self.events.insert(EventKey { due, sequence }, event);
     }
 
     /// When the first event is due; `None` without events.
     pub fn next_due(&self) -> Option<u64> {
-        self.events.keys().next().map(|place| place.due)
+        self.events.keys().next().map(|key| key.due)
     }
 
     /// Takes the first event that is due by `now`.
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -87,7 +87,7 @@
 
 /// Writes a membership report into a data folder.
 pub(crate) fn save_report(folder: &Path) {
-    let happening = |member: &str, what: &str| ReportedEvent {
+    let event = |member: &str, what: &str| ReportedEvent {
         at_ms: 1_800_000_000_000,
         member: member.into(),
         what: what.into(),
@@ -104,11 +104,7 @@
             member("front-2", "10.0.0.2:7400", "alive", Some(75)),
             member("front-3", "10.0.0.3:7400", "suspect", None),
         ],
-        happenings: [
-            happening("front-2", "there"),
-            happening("front-1", "stands joined"),
-        ]
-        .into(),
+        happenings: [event("front-2", "there"), event("front-1", "stands joined")].into(),
     };
     let text = serde_json::to_vec(&report).expect("the report is text");
     DataFolder::save_report(folder, &text).expect("the report is written");
@@ -184,7 +180,7 @@
 // ---- directory snapshot ----
 
 /// A fact of a snapshot: user, tenant, person, mark, and when it was confirmed in milliseconds on the caller's clock.
-pub(crate) type Fact = (String, u16, u64, u64, i64);
+pub(crate) type SnapshotRecord = (String, u16, u64, u64, i64);
 
 /// What a snapshot is written for.
 pub(crate) fn snapshot_fingerprint(parts: &[&str]) -> [u8; 32] {
@@ -192,8 +188,8 @@
 }
 
 /// A snapshot of these facts.
-pub(crate) fn snapshot_bytes(
-    facts: &[Fact],
+pub(crate) fn write_snapshot(
+    facts: &[SnapshotRecord],
     now: u64,
     wall_ms: i64,
     fingerprint: [u8; 32],
@@ -219,33 +215,35 @@
         seed: 3,
         wall_clock_offset_ms: 0,
     });
-    let records = facts.iter().map(|(user, tenant, person, mark, confirmed)| {
-        let record = LookupRecord {
-            directory: 0,
-            result: LookupResult::Tenant(TenantId(*tenant)),
-            person: PersonId(*person),
-            confirmed_at_ms: *confirmed,
-            change_number: *mark,
-            refresh_jitter: 0,
-            last_wanted_day: 0,
-        };
-        StoredRecord {
-            user: user.as_str().into(),
-            record,
-        }
-    });
+    let records = facts
+        .iter()
+        .map(|(user, tenant, person, change_number, confirmed)| {
+            let record = LookupRecord {
+                directory: 0,
+                result: LookupResult::Tenant(TenantId(*tenant)),
+                person: PersonId(*person),
+                confirmed_at_ms: *confirmed,
+                change_number: *change_number,
+                refresh_jitter: 0,
+                last_wanted_day: 0,
+            };
+            StoredRecord {
+                user: user.as_str().into(),
+                record,
+            }
+        });
     directory.restore(now, records.collect());
     snapshot::write(directory.roster(), now, wall_ms, fingerprint, key)
 }
 
 /// The facts of a snapshot, by user.
-pub(crate) fn snapshot_facts(
+pub(crate) fn read_snapshot(
     bytes: &[u8],
     now: u64,
     wall_ms: i64,
     fingerprint: [u8; 32],
     key: &[u8],
-) -> Result<Vec<Fact>, String> {
+) -> Result<Vec<SnapshotRecord>, String> {
     let max_stale = |directory: u16| (directory == 0).then_some(12 * HOUR);
     let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, max_stale);
     let fact = |StoredRecord { user, record }: &StoredRecord| {
@@ -260,7 +258,7 @@
             record.confirmed_at_ms,
         )
     };
-    let mut facts: Vec<Fact> = facts
+    let mut facts: Vec<SnapshotRecord> = facts
         .map_err(|error| error.to_string())?
         .iter()
         .map(fact)
--- a/crates/pipithub-characterization/tests/files.rs
+++ b/crates/pipithub-characterization/tests/files.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use file_driver::Fact;
+use file_driver::SnapshotRecord;
 use pipithub_characterization::recording::{check_file, record_once};
 
 const SECOND: u64 = 1_000_000_000;
@@ -25,10 +25,10 @@
 }
 
 /// The same bytes with one bit flipped.
-fn changed(bytes: &[u8], place: usize) -> Vec<u8> {
-    let mut changed = bytes.to_vec();
-    changed[place] ^= 1;
-    changed
+fn with_flipped_bit(bytes: &[u8], index: usize) -> Vec<u8> {
+    let mut flipped = bytes.to_vec();
+    flipped[index] ^= 1;
+    flipped
 }
 
 #[test]
@@ -55,16 +55,16 @@
         file_driver::next_generation(Some(&text), "campus", "front-2").is_err(),
         "the record of another front end"
     );
-    for place in 0..text.len() {
-        let changed = changed(text.as_bytes(), place);
+    for index in 0..text.len() {
+        let changed = with_flipped_bit(text.as_bytes(), index);
         let changed = String::from_utf8(changed).expect("still text");
         assert!(
             file_driver::read_generation(&changed).is_err(),
-            "byte {place} changed"
+            "byte {index} changed"
         );
         assert!(
-            file_driver::read_generation(&text[..place]).is_err(),
-            "cut at {place}"
+            file_driver::read_generation(&text[..index]).is_err(),
+            "cut at {index}"
         );
     }
 }
@@ -125,7 +125,7 @@
     );
 }
 
-fn fact(user: &str, tenant: u16, person: u64, confirmed_ms: i64) -> Fact {
+fn record(user: &str, tenant: u16, person: u64, confirmed_ms: i64) -> SnapshotRecord {
     (user.to_string(), tenant, person, 3, confirmed_ms)
 }
 
@@ -133,29 +133,29 @@
 #[test]
 fn directory_snapshot_is_written_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
-    let facts = [fact("mai", 1, 7, 0)];
-    let written = file_driver::snapshot_bytes(&facts, SECOND, WALL_MS as i64, fingerprint, KEY);
+    let records = [record("mai", 1, 7, 0)];
+    let written = file_driver::write_snapshot(&records, SECOND, WALL_MS as i64, fingerprint, KEY);
     check_file(&recorded("directory-one-user"), &written);
 }
 
 #[test]
 fn directory_snapshot_is_read_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
-    let facts = [
-        fact("lan", 0, 8, -11 * 3_600_000),
-        fact("mai", 1, 7, 0),
-        fact("thuỷ", 0, 9, -60_000),
+    let records = [
+        record("lan", 0, 8, -11 * 3_600_000),
+        record("mai", 1, 7, 0),
+        record("thuỷ", 0, 9, -60_000),
     ];
-    let written = file_driver::snapshot_bytes(&facts, SECOND, WALL_MS as i64, fingerprint, KEY);
+    let written = file_driver::write_snapshot(&records, SECOND, WALL_MS as i64, fingerprint, KEY);
     record_once(&recorded("directory-three-users"), &written);
 
     let bytes = std::fs::read(recorded("directory-three-users")).expect("recorded");
     assert_eq!(bytes.len(), written.len());
     let read = |wall_ms: i64, fingerprint, key: &[u8]| {
-        file_driver::snapshot_facts(&bytes, 5 * SECOND, wall_ms, fingerprint, key)
+        file_driver::read_snapshot(&bytes, 5 * SECOND, wall_ms, fingerprint, key)
     };
     // Read at once, on a clock that is 4 s ahead: the records have the same age as before.
-    let at_once = facts
+    let at_once = records
         .clone()
         .map(|(user, tenant, person, mark, confirmed)| {
             (user, tenant, person, mark, confirmed + 4_000)
@@ -164,7 +164,10 @@
     // Two hours later one record has expired.
     let later = read(WALL_MS as i64 + 2 * 3_600_000, fingerprint, KEY).expect("understood");
     assert_eq!(
-        later.iter().map(|fact| fact.0.as_str()).collect::<Vec<_>>(),
+        later
+            .iter()
+            .map(|record| record.0.as_str())
+            .collect::<Vec<_>>(),
         ["mai", "thuỷ"]
     );
     assert!(
@@ -175,7 +178,7 @@
         read(WALL_MS as i64, fingerprint, b"another key......").is_err(),
         "under another key"
     );
-    let changed = changed(&bytes, bytes.len() / 2);
-    let read = file_driver::snapshot_facts(&changed, 0, WALL_MS as i64, fingerprint, KEY);
+    let changed = with_flipped_bit(&bytes, bytes.len() / 2);
+    let read = file_driver::read_snapshot(&changed, 0, WALL_MS as i64, fingerprint, KEY);
     assert!(read.is_err(), "changed");
 }
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -151,24 +151,24 @@
 
 /// Shows the events of one member, or of all.
 fn explain(report: &Report, member: Option<&str>, json: bool) -> Result<ExitCode> {
-    let seen: Vec<_> = report
+    let events: Vec<_> = report
         .happenings
         .iter()
         .filter(|event| member.is_none_or(|name| name == event.member))
         .collect();
     if json {
-        println!("{}", serde_json::to_value(&seen).into_diagnostic()?);
+        println!("{}", serde_json::to_value(&events).into_diagnostic()?);
         return Ok(ExitCode::SUCCESS);
     }
     let now = wall_ms();
-    for event in &seen {
+    for event in &events {
         let seconds_ago = now.saturating_sub(event.at_ms) as f64 / 1e3;
         println!(
             "{seconds_ago:>9.1} s ago  {:<20} {}",
             event.member, event.what
         );
     }
-    if seen.is_empty() {
+    if events.is_empty() {
         println!("no such event among the last {}", report.happenings.len());
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/pipithub/src/outage.rs
+++ b/crates/pipithub/src/outage.rs
@@ -21,7 +21,7 @@
     Rule::SlowStart,
 ];
 /// Violations that are printed in full for each seed.
-const MAX_SHOWN: usize = 3;
+const MAX_VIOLATIONS_SHOWN: usize = 3;
 
 /// Arguments of `pipithub outage`.
 #[derive(Args)]
@@ -54,12 +54,12 @@
 /// Fails if a run could not be played to its end.
 pub(crate) async fn play(arguments: OutageArguments) -> Result<ExitCode> {
     // Each run blocks its thread: it has a runtime of its own.
-    tokio::task::spawn_blocking(move || play_seeds(&arguments))
+    tokio::task::spawn_blocking(move || run_seeds(&arguments))
         .await
         .into_diagnostic()?
 }
 
-fn play_seeds(arguments: &OutageArguments) -> Result<ExitCode> {
+fn run_seeds(arguments: &OutageArguments) -> Result<ExitCode> {
     logging::init(false, "warn");
     let binary = match &arguments.binary {
         Some(binary) => binary.clone(),
@@ -69,29 +69,30 @@
     println!(
         "seed nodes workers  lost twice drained load cold  served  without  checks  per worker and second  verdict"
     );
-    let mut are_rules_kept = true;
+    let mut all_passed = true;
     for seed in arguments.seed..arguments.seed + arguments.count {
         let seed_folder = folder.path().join(seed.to_string());
-        are_rules_kept &= play_seed(arguments, seed, &binary, &seed_folder)?;
+        all_passed &= run_seed(arguments, seed, &binary, &seed_folder)?;
     }
-    Ok(folder.finish(are_rules_kept))
+    Ok(folder.finish(all_passed))
 }
 
-fn play_seed(arguments: &OutageArguments, seed: u64, binary: &Path, folder: &Path) -> Result<bool> {
+fn run_seed(arguments: &OutageArguments, seed: u64, binary: &Path, folder: &Path) -> Result<bool> {
     let plan = Plan::draw(seed, arguments.short);
     let slack = Duration::from_millis(arguments.slack_ms);
-    let verdict = play_plan(&plan, binary, folder, slack)?;
-    let share = verdict.served_ratio();
-    let mut without = None;
+    let verdict = run_plan(&plan, binary, folder, slack)?;
+    let served_ratio = verdict.served_ratio();
+    let mut ratio_without_outage = None;
     if arguments.compare {
         let folder = folder.join("without");
-        let compared = play_plan(&plan.without_outage(), binary, &folder, slack)?;
-        without = Some(compared.served_ratio());
+        let compared = run_plan(&plan.without_outage(), binary, &folder, slack)?;
+        ratio_without_outage = Some(compared.served_ratio());
     }
-    let is_enough = without.is_none_or(|without| share >= MIN_RELATIVE_SERVED_RATIO * without);
-    let is_kept = verdict.breaches.is_empty() && is_enough;
-    print_row(&plan, &verdict, without, is_kept);
-    for breach in verdict.breaches.iter().take(MAX_SHOWN) {
+    let serves_enough = ratio_without_outage
+        .is_none_or(|without| served_ratio >= MIN_RELATIVE_SERVED_RATIO * without);
+    let passed = verdict.breaches.is_empty() && serves_enough;
+    print_row(&plan, &verdict, ratio_without_outage, passed);
+    for breach in verdict.breaches.iter().take(MAX_VIOLATIONS_SHOWN) {
         println!(
             "     {:?} at {:.3} s: {}",
             breach.rule,
@@ -99,10 +100,10 @@
             breach.what
         );
     }
-    if !is_kept {
+    if !passed {
         print_steps(&plan);
     }
-    Ok(is_kept)
+    Ok(passed)
 }
 
 fn print_steps(plan: &Plan) {
@@ -112,23 +113,24 @@
     }
 }
 
-fn play_plan(plan: &Plan, binary: &Path, folder: &Path, slack: Duration) -> Result<Verdict> {
+fn run_plan(plan: &Plan, binary: &Path, folder: &Path, slack: Duration) -> Result<Verdict> {
     let history = run(plan, binary, folder).into_diagnostic()?;
     Ok(check(plan, &history, slack))
 }
 
-fn print_row(plan: &Plan, verdict: &Verdict, without: Option<f64>, is_kept: bool) {
+fn print_row(plan: &Plan, verdict: &Verdict, ratio_without_outage: Option<f64>, passed: bool) {
     let [lost, twice, drained, load, cold] = RULES.map(|rule| verdict.count(rule));
-    let without = without.map_or("-".to_string(), |share| format!("{share:.4}"));
+    let ratio_without_outage =
+        ratio_without_outage.map_or("-".to_string(), |ratio| format!("{ratio:.4}"));
     let worker_seconds = plan.workers as f64 * plan.duration.as_secs_f64();
     println!(
-        "{:4} {:5} {:7} {lost:5} {twice:5} {drained:7} {load:4} {cold:4}  {:.4}  {without:>7} {:7}  {:21.2}  {}",
+        "{:4} {:5} {:7} {lost:5} {twice:5} {drained:7} {load:4} {cold:4}  {:.4}  {ratio_without_outage:>7} {:7}  {:21.2}  {}",
         plan.seed,
         plan.nodes,
         plan.workers,
         verdict.served_ratio(),
         verdict.health_checks,
         verdict.health_checks as f64 / worker_seconds,
-        if is_kept { "kept" } else { "BROKEN" },
+        if passed { "kept" } else { "BROKEN" },
     );
 }
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -12,7 +12,7 @@
         .expect("it runs")
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_file(name: &str, text: &str) -> String {
     let folder = std::env::temp_dir().join(format!("pipithub-cli-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join(name);
@@ -62,7 +62,7 @@
 
 #[test]
 fn invalid_settings_are_reported_with_their_positions() {
-    let good = file(
+    let good = write_file(
         "good.kdl",
         "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n",
     );
@@ -72,7 +72,7 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let bad = file(
+    let bad = write_file(
         "bad.kdl",
         "class \"view\" effect=\"safe\" aim=\"soon\"\nworkers { worker \"127.0.0.1:1\" }\n",
     );
@@ -104,7 +104,7 @@
          workers {{ worker \"{}\" }}\n",
         proxy.address, worker.address
     );
-    let config = file("serve.kdl", &settings);
+    let config = write_file("serve.kdl", &settings);
     let mut gateway = Command::new(BINARY)
         .args(["serve", "--config", &config])
         .stdin(Stdio::null())
@@ -141,11 +141,11 @@
 /// Scripts may use the former names of commands, which must give the same output.
 #[test]
 fn renamed_commands_accept_their_former_names() {
-    let no_fleet = file(
+    let no_fleet = write_file(
         "no-fleet.kdl",
         "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n",
     );
-    let unreadable = file("unreadable-scenario.kdl", "day length=\"soon\"\n");
+    let unreadable = write_file("unreadable-scenario.kdl", "day length=\"soon\"\n");
     let cases: [(&str, &str, &[&str], &str); 3] = [
         (
             "emulator",
@@ -184,7 +184,7 @@
 
 #[test]
 fn invalid_scenario_is_reported_with_position_and_reason() {
-    let bad = file(
+    let bad = write_file(
         "bad-day.kdl",
         "day length=\"2s\"\nclass \"a\" effect=\"safe\"\ncrash worker=99 at=\"1s\"\n",
     );
@@ -200,7 +200,7 @@
 
 #[test]
 fn tenants_are_shown_checked_and_explained() {
-    let tree = file(
+    let tree = write_file(
         "tree.ldif",
         "dn: dc=example\nobjectClass: domain\n\ndn: ou=north,dc=example\nobjectClass: organizationalUnit\n\n\
          dn: uid=mai,ou=north,dc=example\nobjectClass: person\nuid: mai\n",
@@ -216,7 +216,7 @@
              workers {{ worker \"127.0.0.1:1\" }}\n"
         )
     };
-    let config = file("tenants.kdl", &settings(&directory.address));
+    let config = write_file("tenants.kdl", &settings(&directory.address));
     let run_tenants = |arguments: &[&str]| {
         let output = run(&[&["tenants"], arguments, &["--config", &config]].concat());
         (
@@ -250,7 +250,7 @@
         !succeeded && text.contains("nobody of this name") && text.contains("no-tenant"),
         "{text}"
     );
-    let bad = file(
+    let bad = write_file(
         "bad-tenants.kdl",
         &settings("127.0.0.1:1").replace("ou=north,dc=example", "ou=north,dc=other"),
     );
@@ -262,16 +262,16 @@
 /// All rules including tenant isolation, with faults of directory servers.
 #[test]
 fn scenario_with_tenants_keeps_all_rules() {
-    keeps_all_rules("bad-day-tenants.kdl");
+    check_all_rules("bad-day-tenants.kdl");
 }
 
 /// All rules without tenants, checked on the traffic between real processes.
 #[test]
 fn small_fault_scenario_keeps_all_rules() {
-    keeps_all_rules("bad-day-small.kdl");
+    check_all_rules("bad-day-small.kdl");
 }
 
-fn keeps_all_rules(scenario: &str) {
+fn check_all_rules(scenario: &str) {
     let scenario = format!("{}/../../scenarios/{scenario}", env!("CARGO_MANIFEST_DIR"));
     let output = run(&["scenario", &scenario, "--seed", "7", "--json"]);
     let report: serde_json::Value = serde_json::from_slice(&output.stdout)
@@ -289,19 +289,20 @@
 
 #[test]
 fn node_rejects_an_invalid_configuration_at_start_and_keeps_the_previous_one_on_reload() {
-    let place = std::env::temp_dir().join(format!("pipithub-node-cli-{}.json", std::process::id()));
+    let config_file =
+        std::env::temp_dir().join(format!("pipithub-node-cli-{}.json", std::process::id()));
     let node = || {
         let mut command = Command::new(BINARY);
         command
             .arg("node")
-            .env("LB_CONFIG", &place)
+            .env("LB_CONFIG", &config_file)
             .env_remove("RUST_LOG")
             .env("LB_LISTEN", "127.0.0.1:0");
         command.stderr(Stdio::piped());
         command
     };
     std::fs::write(
-        &place,
+        &config_file,
         r#"{"name":"n1","listen":"127.0.0.1:0","seed":"xyz","settings":{}}"#,
     )
     .expect("written");
@@ -315,7 +316,7 @@
 
     let good = r#"{"name":"n1","listen":"127.0.0.1:0","seed":"1f","coordinator":"127.0.0.1:1","settings":{"Grades":
         [{"Name":"view","Effect":"read_like","Aim":1000000000,"GiveUp":1000000000}]}}"#;
-    std::fs::write(&place, good).expect("written");
+    std::fs::write(&config_file, good).expect("written");
     let mut child = node().spawn().expect("starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
     let mut log_contains = |message: &str| {
@@ -332,11 +333,11 @@
             .success()
     };
     assert!(log_contains("front end up"));
-    std::fs::write(&place, "{").expect("written");
+    std::fs::write(&config_file, "{").expect("written");
     assert!(signal("-HUP") && log_contains("previous configuration stays in force"));
-    std::fs::write(&place, good.replace("127.0.0.1:1", "127.0.0.1:2")).expect("written");
+    std::fs::write(&config_file, good.replace("127.0.0.1:1", "127.0.0.1:2")).expect("written");
     assert!(signal("-HUP") && log_contains("configuration read again"));
     assert!(signal("-TERM") && log_contains("front end down"));
     assert!(child.wait().expect("ends").success());
-    std::fs::remove_file(&place).expect("removed");
+    std::fs::remove_file(&config_file).expect("removed");
 }
--- a/crates/pipithub/tests/restarts.rs
+++ b/crates/pipithub/tests/restarts.rs
@@ -8,104 +8,120 @@
 use std::net::TcpListener;
 use std::process::Command;
 
-use rig::{FrontEndProcess, Peer, Place, call, config, event, listener, serve_events, worker};
+use rig::{
+    FrontEndProcess, Peer, TempFile, bind_listener, call_line, config, event, run_worker,
+    serve_events,
+};
 
-fn write(place: &Place, text: &str) {
-    std::fs::write(&place.0, text).expect("written");
+fn write(file: &TempFile, text: &str) {
+    std::fs::write(&file.0, text).expect("written");
 }
 
 /// The configuration is a pipe, so that the test can hold its first reading open.
 #[test]
 fn reload_signal_during_the_first_read_of_the_configuration_takes_effect() {
-    let ((_worker, at), (first, first_at), (second, second_at)) =
-        (listener(), listener(), listener());
-    let place = Place::new("pipe");
+    let ((_worker, worker_address), (first, first_address), (second, second_address)) =
+        (bind_listener(), bind_listener(), bind_listener());
+    let config_file = TempFile::new("pipe");
     assert!(
         Command::new("mkfifo")
-            .arg(&place.0)
+            .arg(&config_file.0)
             .status()
             .expect("runs")
             .success()
     );
-    let mut front_end = FrontEndProcess::spawn(&place.0, None);
+    let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
     // This returns when the program has opened the other end.
     let mut pipe = std::fs::OpenOptions::new()
         .write(true)
-        .open(&place.0)
+        .open(&config_file.0)
         .expect("a pipe");
     front_end.signal("HUP");
-    pipe.write_all(config(first_at, at).to_string().as_bytes())
+    pipe.write_all(config(first_address, worker_address).to_string().as_bytes())
         .expect("it is still there");
     // The file is replaced before its first reading ends.
-    let fresh = Place::new("fresh");
-    write(&fresh, &config(second_at, at).to_string());
-    std::fs::rename(&fresh.0, &place.0).expect("replaced");
+    let fresh = TempFile::new("fresh");
+    write(&fresh, &config(second_address, worker_address).to_string());
+    std::fs::rename(&fresh.0, &config_file.0).expect("replaced");
     drop(pipe);
     front_end.wait_until_up();
-    let (_stream, request) = serve_events(&second, &[event(2, at)]);
+    let (_stream, request) = serve_events(&second, &[event(2, worker_address)]);
     assert!(request.contains("last-event-id: 1"), "{request}");
     drop(first);
 }
 
 #[test]
 fn half_written_configuration_is_read_again_after_a_reload() {
-    let ((_worker, at), (first, first_at)) = (listener(), listener());
-    let ((second, second_at), (third, third_at)) = (listener(), listener());
-    let place = Place::new("half");
-    write(&place, &config(first_at, at).to_string());
-    let mut front_end = FrontEndProcess::spawn(&place.0, None);
+    let ((_worker, worker_address), (first, first_address)) = (bind_listener(), bind_listener());
+    let ((second, second_address), (third, third_address)) = (bind_listener(), bind_listener());
+    let config_file = TempFile::new("half");
+    write(
+        &config_file,
+        &config(first_address, worker_address).to_string(),
+    );
+    let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
     let address = front_end.wait_until_up();
     let (_open, _) = serve_events(&first, &[]);
-    let whole = config(second_at, at).to_string();
-    write(&place, &whole[..whole.len() / 2]);
+    let whole = config(second_address, worker_address).to_string();
+    write(&config_file, &whole[..whole.len() / 2]);
     front_end.signal("HUP");
     front_end.wait_for_log("previous configuration stays in force");
-    write(&place, &whole);
+    write(&config_file, &whole);
     // It reads the file again without a further signal.
-    let (_open, request) = serve_events(&second, &[event(2, at)]);
+    let (_open, request) = serve_events(&second, &[event(2, worker_address)]);
     assert!(request.contains("last-event-id: 1"), "{request}");
     // Of two reloads in a row the last one counts.
-    write(&place, &config(first_at, at).to_string());
+    write(
+        &config_file,
+        &config(first_address, worker_address).to_string(),
+    );
     front_end.signal("HUP");
-    write(&place, &config(third_at, at).to_string());
+    write(
+        &config_file,
+        &config(third_address, worker_address).to_string(),
+    );
     front_end.signal("HUP");
     let (_open, request) = serve_events(&third, &[]);
     assert!(request.contains("last-event-id: 2"), "{request}");
-    assert!(Peer::connect(address).is_well(1));
+    assert!(Peer::connect(address).is_healthy(1));
 }
 
 /// Every request gets its answer, whether it was sent before or after SIGTERM, and the process ends.
 #[test]
 fn graceful_shutdown_answers_pending_and_newly_arriving_requests() {
-    let ((workers, at), (_list, list_at)) = (listener(), listener());
-    let place = Place::new("stop");
-    write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEndProcess::spawn(&place.0, None);
+    let ((workers, worker_address), (_list, coordinator_address)) =
+        (bind_listener(), bind_listener());
+    let config_file = TempFile::new("stop");
+    write(
+        &config_file,
+        &config(coordinator_address, worker_address).to_string(),
+    );
+    let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
     let address = front_end.wait_until_up();
     let (mut open, mut other) = (Peer::connect(address), Peer::connect(address));
-    open.send(&call(1, "assign"));
-    let mut at_worker = Peer::of(workers.accept().expect("a connection").0);
-    let first = at_worker.receive().expect("a call");
-    assert!(other.is_well(1));
+    open.send(&call_line(1, "assign"));
+    let mut worker_peer = Peer::new(workers.accept().expect("a connection").0);
+    let first = worker_peer.receive().expect("a call");
+    assert!(other.is_healthy(1));
     front_end.signal("TERM");
     front_end.wait_for_log("shutting down");
-    assert!(!other.is_well(2));
+    assert!(!other.is_healthy(2));
     // On an open connection, on a new one, and on one whose client has gone by the time of its answer.
-    open.send(&call(2, "assign"));
+    open.send(&call_line(2, "assign"));
     let mut late = Peer::connect(address);
-    late.send(&call(3, "assign"));
+    late.send(&call_line(3, "assign"));
     let mut gone = Peer::connect(address);
-    gone.send(&call(4, "assign"));
+    gone.send(&call_line(4, "assign"));
     // All of them reach the worker, each on a connection of its own, and are pending.
-    let mut held = vec![(at_worker, first)];
+    let mut held = vec![(worker_peer, first)];
     while held.len() < 4 {
-        let mut next = Peer::of(workers.accept().expect("a connection").0);
+        let mut next = Peer::new(workers.accept().expect("a connection").0);
         let asked = next.receive().expect("a call");
         held.push((next, asked));
     }
     drop(gone);
-    for (at_worker, asked) in &mut held {
-        at_worker.serve(asked);
+    for (worker_peer, asked) in &mut held {
+        worker_peer.serve(asked);
     }
     let mut ids: Vec<u64> = [open.receive(), open.receive(), late.receive()]
         .into_iter()
@@ -126,13 +142,17 @@
 /// A pending call is answered as failed, and the process ends before the platform would kill it.
 #[test]
 fn graceful_shutdown_ends_although_a_worker_hangs() {
-    let ((workers, at), (_list, list_at)) = (listener(), listener());
-    let place = Place::new("hang");
-    write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEndProcess::spawn(&place.0, None);
+    let ((workers, worker_address), (_list, coordinator_address)) =
+        (bind_listener(), bind_listener());
+    let config_file = TempFile::new("hang");
+    write(
+        &config_file,
+        &config(coordinator_address, worker_address).to_string(),
+    );
+    let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
     let mut client = Peer::connect(front_end.wait_until_up());
-    client.send(&call(1, "assign"));
-    let mut hangs = Peer::of(workers.accept().expect("a connection").0);
+    client.send(&call_line(1, "assign"));
+    let mut hangs = Peer::new(workers.accept().expect("a connection").0);
     hangs.receive().expect("a call");
     front_end.signal("TERM");
     assert_eq!(
@@ -147,17 +167,20 @@
 /// The workers that the configuration lists are enough to serve without the coordinator.
 #[test]
 fn killed_front_end_serves_after_a_restart_without_discovery() {
-    let (workers, at) = listener();
+    let (workers, worker_address) = bind_listener();
     // The listener is dropped at once, so that nothing listens on its address.
-    let list_at = listener().1;
-    std::thread::spawn(move || worker(workers));
-    let place = Place::new("kill");
-    write(&place, &config(list_at, at).to_string());
+    let coordinator_address = bind_listener().1;
+    std::thread::spawn(move || run_worker(workers));
+    let config_file = TempFile::new("kill");
+    write(
+        &config_file,
+        &config(coordinator_address, worker_address).to_string(),
+    );
     for round in 0..2 {
-        let mut front_end = FrontEndProcess::spawn(&place.0, None);
+        let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
         let mut client = Peer::connect(front_end.wait_until_up());
-        assert!(client.is_well(1));
-        client.send(&call(2 + round, "assign"));
+        assert!(client.is_healthy(1));
+        client.send(&call_line(2 + round, "assign"));
         assert!(client.receive().expect("an answer")["result"].is_object());
         front_end.signal("KILL");
         assert!(!front_end.process.0.wait().expect("it ends").success());
@@ -167,33 +190,36 @@
 /// Idle clients open as many connections as they can without discovery; calls, workers and the list still get descriptors.
 #[test]
 fn idle_clients_leave_descriptors_for_workers_and_the_endpoint_list() {
-    let (workers, at) = listener();
-    let (list, list_at) = listener();
+    let (workers, worker_address) = bind_listener();
+    let (list, coordinator_address) = bind_listener();
     drop(list);
-    std::thread::spawn(move || worker(workers));
-    let place = Place::new("full");
-    write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEndProcess::spawn(&place.0, Some(64));
+    std::thread::spawn(move || run_worker(workers));
+    let config_file = TempFile::new("full");
+    write(
+        &config_file,
+        &config(coordinator_address, worker_address).to_string(),
+    );
+    let mut front_end = FrontEndProcess::spawn(&config_file.0, Some(64));
     let address = front_end.wait_until_up();
     let mut idle = Vec::new();
     for _ in 0..200 {
         let mut client = Peer::connect(address);
-        client.is_well(1);
+        client.is_healthy(1);
         idle.push(client);
     }
     // Further clients that connect at once and send nothing.
     let silent: Vec<Peer> = (0..200).map(|_| Peer::connect(address)).collect();
     let mut client = Peer::connect(address);
     for id in 1..=50 {
-        client.send(&call(id, "assign"));
+        client.send(&call_line(id, "assign"));
         assert!(
             client.receive().expect("an answer")["result"].is_object(),
             "call {id}"
         );
     }
-    let list = TcpListener::bind(list_at).expect("the same port");
-    let (_open, request) = serve_events(&list, &[event(2, at)]);
+    let list = TcpListener::bind(coordinator_address).expect("the same port");
+    let (_open, request) = serve_events(&list, &[event(2, worker_address)]);
     assert!(request.contains("last-event-id: 1"), "{request}");
-    assert!(client.is_well(99));
+    assert!(client.is_healthy(99));
     drop((idle, silent));
 }
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -11,9 +11,9 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
 /// A process that is ended when dropped.
-pub(crate) struct Running(pub Child);
+pub(crate) struct ProcessGuard(pub Child);
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -21,7 +21,7 @@
 }
 
 /// A worker that answers every request, until the test ends.
-pub(crate) fn worker(listener: TcpListener) {
+pub(crate) fn run_worker(listener: TcpListener) {
     for stream in listener.incoming().map_while(Result::ok) {
         std::thread::spawn(move || {
             let mut write = stream.try_clone().expect("a second handle");
@@ -37,22 +37,22 @@
 }
 
 /// A listener on a free port, and its address.
-pub(crate) fn listener() -> (TcpListener, SocketAddr) {
+pub(crate) fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
 /// The path of a file of this test, which is removed at its end.
-pub(crate) struct Place(pub PathBuf);
+pub(crate) struct TempFile(pub PathBuf);
 
-impl Place {
+impl TempFile {
     pub(crate) fn new(name: &str) -> Self {
-        Place(std::env::temp_dir().join(format!("pipithub-{name}-{}", std::process::id())))
+        TempFile(std::env::temp_dir().join(format!("pipithub-{name}-{}", std::process::id())))
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -81,7 +81,7 @@
 
 /// A front end as a process.
 pub(crate) struct FrontEndProcess {
-    pub process: Running,
+    pub process: ProcessGuard,
     pub log: Lines<BufReader<ChildStderr>>,
 }
 
@@ -111,7 +111,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("starts");
-        let mut process = Running(child);
+        let mut process = ProcessGuard(child);
         let log = BufReader::new(process.0.stderr.take().expect("piped")).lines();
         FrontEndProcess { process, log }
     }
@@ -152,7 +152,7 @@
 }
 
 impl Peer {
-    pub(crate) fn of(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         let write = stream.try_clone().expect("a second handle");
         Peer {
             lines: BufReader::new(stream).lines(),
@@ -161,7 +161,7 @@
     }
 
     pub(crate) fn connect(address: SocketAddr) -> Self {
-        Peer::of(TcpStream::connect(address).expect("connects"))
+        Peer::new(TcpStream::connect(address).expect("connects"))
     }
 
     /// Reads the next line, as JSON; `None` if the other end has closed the connection.
@@ -175,7 +175,7 @@
     }
 
     /// Whether the front end reports itself as healthy.
-    pub(crate) fn is_well(&mut self, id: u64) -> bool {
+    pub(crate) fn is_healthy(&mut self, id: u64) -> bool {
         self.send(&format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
         ));
@@ -190,7 +190,7 @@
 }
 
 /// The line of a call.
-pub(crate) fn call(id: u64, class: &str) -> String {
+pub(crate) fn call_line(id: u64, class: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
         {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": "aGVsbG8="}});
     format!("{call}\n")
--- a/crates/pipithub/tests/run_line.rs
+++ b/crates/pipithub/tests/run_line.rs
@@ -13,30 +13,31 @@
 use object::read::elf::{Dyn, FileHeader, ProgramHeader};
 use object::{Endianness, elf};
 use procfs::process::{FDTarget, Process};
-use rig::{Running, worker};
+use rig::{ProcessGuard, run_worker};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
 /// How a program is linked: whether it has an interpreter, and the libraries that it needs.
-fn linked(bytes: &[u8]) -> object::Result<(bool, Vec<String>)> {
+fn linkage(bytes: &[u8]) -> object::Result<(bool, Vec<String>)> {
     let header = elf::FileHeader64::<Endianness>::parse(bytes)?;
     let endian = header.endian()?;
-    let (mut interpreter, mut needs) = (false, Vec::new());
+    let (mut has_interpreter, mut needed_libraries) = (false, Vec::new());
     let sections = header.sections(endian, bytes)?;
     for segment in header.program_headers(endian, bytes)? {
-        interpreter |= segment.interpreter(endian, bytes)?.is_some();
+        has_interpreter |= segment.interpreter(endian, bytes)?.is_some();
         for entry in segment.dynamic(endian, bytes)?.unwrap_or_default() {
             if entry.tag(endian) == elf::DT_NEEDED {
                 let strings = sections.symbols(endian, bytes, elf::SHT_DYNSYM)?.strings();
-                needs.push(String::from_utf8_lossy(entry.string(endian, strings)?).into_owned());
+                needed_libraries
+                    .push(String::from_utf8_lossy(entry.string(endian, strings)?).into_owned());
             }
         }
     }
-    Ok((interpreter, needs))
+    Ok((has_interpreter, needed_libraries))
 }
 
 /// What a running process does that the platform does not allow.
-fn breaches(pid: u32) -> Vec<String> {
+fn violations(pid: u32) -> Vec<String> {
     let process = Process::new(pid as i32).expect("it runs");
     let mut found = Vec::new();
     for task in process.tasks().expect("its threads").map_while(Result::ok) {
@@ -92,8 +93,8 @@
 
 #[test]
 fn deploy_file_starts_a_single_program_by_exec() {
-    let place = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
-    let deploy: toml::Table = std::fs::read_to_string(place)
+    let deploy_file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
+    let deploy: toml::Table = std::fs::read_to_string(deploy_file)
         .expect("it is there")
         .parse()
         .expect("TOML");
@@ -115,10 +116,10 @@
 #[test]
 fn program_is_linked_dynamically_against_the_c_library() {
     let mut bytes = std::fs::read(BINARY).expect("it was built");
-    let (interpreter, needs) = linked(&bytes).expect("a program");
+    let (has_interpreter, needed_libraries) = linkage(&bytes).expect("a program");
     assert!(
-        interpreter && needs.iter().any(|n| n.starts_with("libc.so")),
-        "{needs:?}"
+        has_interpreter && needed_libraries.iter().any(|n| n.starts_with("libc.so")),
+        "{needed_libraries:?}"
     );
     // The check itself is tested: a statically linked program, without an interpreter, is recognised.
     let header = elf::FileHeader64::<Endianness>::parse(&*bytes).expect("a header");
@@ -131,7 +132,7 @@
         .position(|s| s.p_type.get(endian) == elf::PT_INTERP)
         .expect("one names it");
     bytes[at + which * size..][..4].copy_from_slice(&0u32.to_ne_bytes());
-    assert!(!linked(&bytes).expect("a program").0);
+    assert!(!linkage(&bytes).expect("a program").0);
 }
 
 #[test]
@@ -142,7 +143,7 @@
         .stdin(Stdio::piped())
         .spawn()
         .expect("runs");
-    let seen = std::iter::repeat_with(|| breaches(shell.id()))
+    let seen = std::iter::repeat_with(|| violations(shell.id()))
         .take(100_000)
         .find(|b| !b.is_empty())
         .expect("in the end");
@@ -153,7 +154,7 @@
     let path = std::env::temp_dir().join(format!("pipithub-run-{}", std::process::id()));
     let named = std::os::unix::net::UnixListener::bind(&path).expect("bound");
     assert!(
-        breaches(std::process::id())
+        violations(std::process::id())
             .iter()
             .any(|b| b.starts_with("socket")),
         "a path"
@@ -175,7 +176,7 @@
 }
 
 /// Starts a front end as the platform does: a shell that becomes the program by `exec`. Returns its address as well.
-fn start_by_shell(config: &Path) -> (Running, String) {
+fn start_by_shell(config: &Path) -> (ProcessGuard, String) {
     let mut command = Command::new("/bin/sh");
     command
         .args(["-c", &format!("exec {BINARY} node")])
@@ -186,7 +187,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    let mut child = Running(child);
+    let mut child = ProcessGuard(child);
     let up = BufReader::new(child.0.stderr.as_mut().expect("piped"))
         .lines()
         .map_while(Result::ok)
@@ -228,14 +229,14 @@
     std::fs::write(&file, config.to_string()).expect("written");
     let (child, address) = start_by_shell(&file);
     std::fs::remove_file(&file).expect("removed");
-    std::thread::spawn(move || worker(worker_listener));
+    std::thread::spawn(move || run_worker(worker_listener));
     let (mut coordinator, _) = list_listener.accept().expect("it asks for the list");
     assert!(coordinator.read(&mut [0; 512]).expect("a request") > 0);
 
     // The connection stays open while the process is examined.
     let _connection = make_calls(&address, 20);
     let pid = child.0.id();
-    assert_eq!(breaches(pid), Vec::<String>::new());
+    assert_eq!(violations(pid), Vec::<String>::new());
     let runs = std::fs::read_link(format!("/proc/{pid}/exe")).expect("its program");
     assert_eq!(
         runs.file_name(),
