--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -1,7 +1,8 @@
 //! Textbook load-balancing policies, for comparison with the decision module in scenarios only.
 //!
-//! They take the same events and return the same actions. Both keep the guarantees to clients: one answer, no repeated
-//! effect of a request that is not idempotent, no new requests for draining workers. Neither makes predictions.
+//! They take the same events and return the same actions as the decision module. Both policies keep
+//! the guarantees to clients: one answer, no repeated effect of a request that is not idempotent, no new requests for
+//! draining workers. Neither policy makes predictions.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +12,11 @@
     Event, Idempotency, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 
-/// No request is forwarded this many ticks before its deadline or later.
+/// A request is forwarded only if more than this many ticks remain until its deadline.
 const FORWARD_MARGIN_TICKS: Time = 2;
-/// A timer ends a request that is at most this many ticks before its deadline.
+/// When the timer of a request fires, the request is ended if at most this many ticks remain until its deadline.
 const TIMER_MARGIN_TICKS: Time = 3;
-/// No request with an idempotency key is retried this many ticks before its deduplication window ends or later.
+/// A request with an idempotency key is retried only if more than this many ticks remain until its deduplication window ends.
 const DEDUPLICATION_MARGIN_TICKS: Time = 10;
 
 /// A textbook load-balancing policy.
@@ -39,7 +40,7 @@
     deadline: Time,
     attempts: u32,
     in_flight: bool,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent; `None` if no attempt that has finished may have run.
     may_have_run: Option<Time>,
     last_attempt_at: Time,
     attempted_workers: Vec<WorkerId>,
@@ -111,7 +112,7 @@
         chosen.map(|(id, _)| id.clone())
     }
 
-    /// Sends the next attempt of a request, or ends the request where none may be sent.
+    /// Sends the next attempt of a request, or ends the request if no attempt may be sent.
     fn forward_or_end(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_requests.get(&id) else {
             return;
@@ -147,7 +148,7 @@
         });
     }
 
-    /// Ends a request without a response: rejects it where the client may safely retry, and fails it otherwise.
+    /// Ends a request without a response: rejects it if the client may safely retry, and fails it otherwise.
     fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
@@ -231,7 +232,7 @@
         self.forward_or_end(now, attempt.request, actions);
     }
 
-    /// Ends a request whose deadline is near; the timer of a request that has ended does nothing.
+    /// Ends a request whose deadline is near. Does nothing if the request has already ended.
     fn check_deadline(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let margin = TIMER_MARGIN_TICKS * self.settings.tick;
         let is_due = self
--- a/crates/pipithub-baselines/tests/policies.rs
+++ b/crates/pipithub-baselines/tests/policies.rs
@@ -1,4 +1,4 @@
-//! What the textbook policies promise: where requests go, when they are retried, and how they end.
+//! Tests of the textbook policies: which worker gets a request, when it is retried, and how it ends.
 
 use pipithub_baselines::{Baseline, Policy};
 use pipithub_engine::Decide;
@@ -11,7 +11,7 @@
 const TIMEOUT: Time = 1_000 * TICK;
 const DEDUPLICATION_WINDOW: Time = 100 * TICK;
 
-/// The classes by their index in the settings.
+// The indexes of the classes in the settings.
 const IDEMPOTENT: usize = 0;
 const WITH_KEY: usize = 1;
 const NON_IDEMPOTENT: usize = 2;
--- a/crates/pipithub/src/baseline.rs
+++ b/crates/pipithub/src/baseline.rs
@@ -1,13 +1,13 @@
-//! Textbook routing policies, for comparison with the decision module.
+//! The textbook routing policies that `--baseline` selects, for comparison with the decision module.
 
 use pipithub_gateway::Policy;
 
 /// A textbook routing policy.
 #[derive(Clone, Copy, clap::ValueEnum)]
 pub(crate) enum Baseline {
-    /// All ready workers in turn.
+    /// Routes to all ready workers in turn.
     RoundRobin,
-    /// The worker with the fewest requests in flight.
+    /// Routes to the worker with the fewest requests in flight.
     LeastLoaded,
 }
 
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -14,7 +14,7 @@
 
 /// Runs the scenario, prints the counts of each second and then the report.
 ///
-/// Fails if the scenario could not be run to its end; exits with a failure if a rule was violated.
+/// Fails if the scenario could not be completed; exits with a failure if a rule was violated.
 pub(crate) async fn run() -> Result<ExitCode> {
     logging::init(false, "warn");
     let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|error| Report::new(*error))?;
--- a/crates/pipithub/src/emulator.rs
+++ b/crates/pipithub/src/emulator.rs
@@ -23,21 +23,21 @@
 
 use crate::{logging, shutdown};
 
-/// The log target of this module. Log filters of operators name it by the command's former name.
+/// The log target of this module. Log filters of operators name it by the former name of this command, `standin`.
 const LOG_TARGET: &str = "pipithub::standin";
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
-/// The fewest cores of a worker; with none its calls would never end.
+/// The minimum number of cores of a worker; with 0 cores its calls would never end.
 const MIN_CORES: f64 = 0.01;
-/// The lowest speed of a core, relative to an ordinary one.
+/// The minimum speed of a core, relative to an ordinary core.
 const MIN_SPEED: f64 = 0.001;
-/// The smallest part of its capacity that a worker starts with.
+/// The minimum fraction of its capacity that a worker starts with.
 const MIN_INITIAL_WEIGHT: f64 = 0.01;
-/// The delay of the proxy if the number in the command `delay` is missing or invalid.
+/// The delay that the proxy adds if the number in the command `delay` is missing or invalid.
 const DEFAULT_PROXY_DELAY_MS: u64 = 100;
 
 /// Runs one emulated server until a shutdown is requested.
 ///
-/// Fails if its address is not on loopback or cannot be bound, or if a file of its arguments cannot be used.
+/// Fails if its address is not on loopback or cannot be bound, or if a file named in its arguments cannot be used.
 pub(crate) async fn run(emulator: Emulator) -> Result<ExitCode> {
     logging::init(false, "info");
     match emulator {
@@ -188,13 +188,13 @@
     until_shutdown(execute_commands(common.commands, execute)).await
 }
 
-/// Prints the server's address as a line of JSON, from which the starting process learns it.
+/// Prints the server's address as a line of JSON, which the process that started the server reads.
 fn print_address(address: SocketAddr) {
     println!("{}", serde_json::json!({"address": address.to_string()}));
 }
 
 /// Executes the commands on standard input, one per line. At the end of the input it returns if `ends_with_input` is
-/// set, and otherwise waits forever.
+/// true, and otherwise waits forever.
 async fn execute_commands(ends_with_input: bool, mut execute: impl FnMut(&str)) {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
--- a/crates/pipithub/src/emulator/arguments.rs
+++ b/crates/pipithub/src/emulator/arguments.rs
@@ -72,13 +72,13 @@
 pub(crate) struct Worker {
     #[command(flatten)]
     pub(super) common: Common,
-    /// The address of the model store; without one a load takes `--load-ms` alone.
+    /// The address of the model store; without a store, a load takes only `--load-ms`.
     #[arg(long)]
     pub(super) store: Option<String>,
     /// The number of cores.
     #[arg(long, default_value_t = 2.0)]
     pub(super) cores: f64,
-    /// The speed of a core, relative to an ordinary one.
+    /// The speed of a core, relative to an ordinary core.
     #[arg(long, default_value_t = 1.0)]
     pub(super) speed: f64,
     /// Memory for replicas of functions, in MB.
@@ -96,19 +96,19 @@
     /// Time after which an idle replica is unloaded, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub(super) keep_ms: u64,
-    /// The part of its capacity that the worker starts with, from 0 to 1.
+    /// The fraction of its capacity that the worker starts with, from 0 to 1.
     #[arg(long, default_value_t = 1.0, overrides_with = "cold_from")]
     pub(super) cold_from: f64,
     /// Time until the worker has warmed up to full capacity, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub(super) ramp_ms: u64,
-    /// The worker fails if, while warming up, it gets more than this multiple of its capacity; 0 for never.
+    /// The worker fails if, while warming up, it gets more than this multiple of its capacity; 0 disables this.
     #[arg(long, default_value_t = 0.0)]
     pub(super) fall_multiple: f64,
-    /// The window over which that overload is measured, in milliseconds.
+    /// The window over which the overload of `--fall-multiple` is measured, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     pub(super) fall_span_ms: u64,
-    /// How long duplicates of an idempotency key are dropped, in milliseconds.
+    /// How long calls with an idempotency key that has already been used are dropped, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub(super) dedup_ms: u64,
 }
@@ -118,7 +118,7 @@
 pub(crate) struct Store {
     #[command(flatten)]
     pub(super) common: Common,
-    /// Time of a fetch on an unloaded store, in milliseconds.
+    /// Time that a fetch takes on an unloaded store, in milliseconds.
     #[arg(long, default_value_t = 300)]
     pub(super) fetch_ms: u64,
     /// How many concurrent fetches run at full speed.
@@ -147,7 +147,7 @@
     /// The DN that clients must bind as.
     #[arg(long, requires = "password")]
     pub(super) bind: Option<String>,
-    /// The password of that DN.
+    /// The password for the DN given with `--bind`.
     #[arg(long)]
     pub(super) password: Option<String>,
     /// Use TLS from the first byte (LDAPS) instead of offering `StartTLS`.
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of pipithub: its commands, and the module that runs each of them.
+//! The command line of pipithub: its commands, each of which is run by a module of its own.
 
 mod baseline;
 mod demo;
@@ -45,7 +45,7 @@
         #[command(subcommand)]
         command: emulator::Emulator,
     },
-    /// Shows the configured tenants, checks their directory servers, explains which tenant a user belongs to.
+    /// Shows the configured tenants, checks their directory servers, or explains which tenant a user belongs to.
     Tenants {
         #[command(subcommand)]
         command: tenants::Tenants,
@@ -63,7 +63,7 @@
     /// Runs a fault scenario from a file and checks the guarantees; exits with 0 only if all of them held.
     #[command(visible_alias = "drill")]
     Scenario(scenario::ScenarioArguments),
-    /// Plays seeded outages of discovery beside drains and restarts against front ends on loopback, and checks the rules.
+    /// Runs seeded discovery outages with concurrent drains and restarts against front ends on loopback, and checks the rules.
     Outage(outage::OutageArguments),
 }
 
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -1,4 +1,4 @@
-//! `pipithub membership`: the fleet as a front end sees it, from the report in its data folder.
+//! `pipithub membership`: the fleet as a front end sees it, read from the report in the data folder of that front end.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 /// The subcommands of `pipithub membership`.
 #[derive(Subcommand)]
 pub(crate) enum Membership {
-    /// Lists the members as the running front end sees them; exits with 0 only if it is a joined member itself.
+    /// Lists the members as the running front end sees them; exits with 0 only if that front end is a joined member.
     Status {
         /// The settings file.
         #[arg(long)]
@@ -36,7 +36,7 @@
     },
 }
 
-/// Joins the fleet that the settings name; `None` if they name none.
+/// Joins the fleet of the settings; `None` if the settings contain no fleet.
 pub(crate) async fn start(config: &Config) -> Result<Option<MembershipRuntime>> {
     let Some(fleet) = &config.fleet else {
         return Ok(None);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Shows a front end's last report. Fails if there is none or it cannot be parsed.
+/// Shows the last report of a front end. Fails if the settings contain no fleet, or the report is missing or cannot be parsed.
 pub(crate) fn run(command: Membership) -> Result<ExitCode> {
     match command {
         Membership::Status { config, json } => show_status(&LatestReport::read(&config)?, json),
@@ -149,7 +149,7 @@
     );
 }
 
-/// Shows the events of one member, or of all.
+/// Prints the events of one member, or of all members if `member` is `None`.
 fn explain(report: &Report, member: Option<&str>, json: bool) -> Result<ExitCode> {
     let events: Vec<_> = report
         .happenings
--- a/crates/pipithub/src/node.rs
+++ b/crates/pipithub/src/node.rs
@@ -16,12 +16,12 @@
     /// The configuration file.
     #[arg(long, env = "LB_CONFIG")]
     config: PathBuf,
-    /// The address to listen on; by default that of the configuration.
+    /// The address to listen on; by default the address in the configuration.
     #[arg(long, env = "LB_LISTEN")]
     listen: Option<String>,
 }
 
-/// Serves until a shutdown is requested. Fails if the configuration is invalid or the address cannot be bound.
+/// Runs the front end until a shutdown is requested. Fails if the configuration is invalid or the address cannot be bound.
 pub(crate) async fn run(arguments: NodeArguments) -> Result<ExitCode> {
     logging::init(false, "info");
     let node = Node::bind(&arguments.config, arguments.listen)
--- a/crates/pipithub/src/outage.rs
+++ b/crates/pipithub/src/outage.rs
@@ -1,4 +1,4 @@
-//! `pipithub outage`: plays seeded outages of discovery against front ends on loopback, and checks the rules.
+//! `pipithub outage`: runs seeded discovery outages against front ends on loopback, and checks the rules.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,8 +11,9 @@
 use crate::logging;
 use crate::scenario::RunFolder;
 
-/// The least share served, as a part of that of the same seed without the outage.
+/// The lowest accepted share of served calls, relative to the share that the same seed serves without the outage.
 const MIN_RELATIVE_SERVED_RATIO: f64 = 0.9;
+/// The rules, in the order of their columns in the table.
 const RULES: [Rule; 5] = [
     Rule::FinalAnswer,
     Rule::EffectOnce,
@@ -20,28 +21,28 @@
     Rule::DrainedLoadCommand,
     Rule::SlowStart,
 ];
-/// Violations that are printed in full for each seed.
+/// The maximum number of violations that are printed for each seed.
 const MAX_VIOLATIONS_SHOWN: usize = 3;
 
 /// Arguments of `pipithub outage`.
 #[derive(Args)]
 pub(crate) struct OutageArguments {
-    /// The seed of the first run; each further run has the next one.
+    /// The seed of the first run; each further run uses the next higher seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// How many seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Shorter runs with fewer front ends.
+    /// Do shorter runs with fewer front ends.
     #[arg(long)]
     short: bool,
-    /// Play each seed without its outage as well, and compare the shares served.
+    /// Run each seed without its outage as well, and compare the shares of served calls.
     #[arg(long)]
     compare: bool,
-    /// What is added to each limit of time, in milliseconds; the platform adds 50.
+    /// The tolerance added to each time limit, in milliseconds; the platform adds 50.
     #[arg(long, default_value_t = 50)]
     slack_ms: u64,
-    /// The front end's program; by default this one.
+    /// The program of the front ends; by default this program.
     #[arg(long)]
     binary: Option<PathBuf>,
     /// The folder for configurations and logs; by default a temporary one, which is removed if all rules held.
@@ -49,11 +50,11 @@
     folder: Option<PathBuf>,
 }
 
-/// Plays the seeds; exits with a failure if a rule was broken or too little was served.
+/// Runs all seeds; exits with a failure if a rule was violated or too few calls were served.
 ///
-/// Fails if a run could not be played to its end.
+/// Fails if a run could not be completed.
 pub(crate) async fn play(arguments: OutageArguments) -> Result<ExitCode> {
-    // Each run blocks its thread: it has a runtime of its own.
+    // Each run blocks its thread, because it creates and blocks on its own runtime.
     tokio::task::spawn_blocking(move || run_seeds(&arguments))
         .await
         .into_diagnostic()?
--- a/crates/pipithub/src/publish.rs
+++ b/crates/pipithub/src/publish.rs
@@ -57,7 +57,7 @@
     /// How long to wait for answers after the last call, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     wait_ms: u64,
-    /// Set the message property `user_id` to the user that logs in.
+    /// Set the message property `user_id` to the user given with `--user`.
     #[arg(long)]
     as_user: bool,
     /// Sign the calls for this user; needs `--key-file` and `--key-id`.
@@ -77,7 +77,7 @@
     json: bool,
 }
 
-/// Publishes the calls and reports the answers; exits with a failure if any call has none when the wait is over.
+/// Publishes the calls and reports the answers; exits with a failure if any call is still unanswered when the wait is over.
 pub(crate) async fn run(arguments: Publish) -> Result<ExitCode> {
     let json = arguments.json;
     let mut publisher = Publisher::new(arguments)?;
@@ -96,7 +96,7 @@
     }
 }
 
-/// A queue client and the results of its calls so far.
+/// A queue client and the results of the calls that it has published so far.
 struct Publisher {
     arguments: Publish,
     signature: Option<Signed>,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Publishes at the requested rate until all calls are answered or the wait after the last one is over.
+    /// Publishes at the requested rate until all calls are answered or the wait after the last call is over.
     async fn publish_all(&mut self) -> Result<()> {
         let clock = self.client.clock;
         let count = self.arguments.count;
@@ -198,11 +198,11 @@
     }))
 }
 
-/// The results of all calls.
+/// The results of all calls of this run.
 #[derive(Default)]
 struct Results {
     sent: u64,
-    /// When each call that has no answer yet was sent, by its id.
+    /// When each unanswered call was sent, by the id of the call.
     unanswered: HashMap<String, Time>,
     verdicts: BTreeMap<String, usize>,
     causes: BTreeMap<String, usize>,
@@ -222,7 +222,7 @@
         *self.causes.entry(answer.cause).or_default() += 1;
     }
 
-    /// A quantile of the latencies in milliseconds, which must be sorted; NaN if there are none.
+    /// A quantile of the latencies in milliseconds; NaN if there are none. The latencies must be sorted.
     fn quantile(&self, quantile: f64) -> f64 {
         let count = self.latencies_ms.len();
         let rank = (count as f64 * quantile).ceil() as usize;
--- a/crates/pipithub/src/scenario.rs
+++ b/crates/pipithub/src/scenario.rs
@@ -37,9 +37,10 @@
     baseline: Option<Baseline>,
 }
 
-/// Runs the scenario of a file, which is one of a gateway or one of a fleet.
+/// Runs the scenario in a file: either a gateway scenario or a fleet scenario.
 ///
-/// Fails if the file is invalid or the scenario could not be run to its end; exits with a failure if a rule was violated.
+/// Fails if the file cannot be read or is invalid, or the scenario could not be completed; exits with a failure
+/// if a rule was violated.
 pub(crate) async fn run(arguments: ScenarioArguments) -> Result<ExitCode> {
     logging::init(false, "warn");
     let name = arguments.file.display().to_string();
--- a/crates/pipithub/src/scenario/fleet.rs
+++ b/crates/pipithub/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! Scenarios of a fleet: front ends as processes, with faulty links and disks, whose membership is checked.
+//! Fleet scenarios: front ends run as processes with faulty links and disks, and their membership is checked.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use super::report::RuleResult;
 use super::{RunFolder, ScenarioArguments};
 
-/// Runs a scenario of a fleet and shows its result. Fails if it could not be run to its end.
+/// Runs a fleet scenario and prints its result. Fails if the scenario could not be completed.
 pub(super) async fn run(
     scenario: &FleetScenario,
     arguments: ScenarioArguments,
--- a/crates/pipithub/src/scenario/report.rs
+++ b/crates/pipithub/src/scenario/report.rs
@@ -6,23 +6,24 @@
 use pipithub_scenario::scenario::Scenario;
 use serde_json::{Value, json};
 
-/// Breaches of one rule that the tables show; JSON holds all.
+/// The maximum number of breaches shown for one rule in the tables; the JSON output contains all of them.
 const MAX_BREACHES_SHOWN: usize = 10;
-/// Seconds of a window of the table, to which the faults that begin within it are added.
+/// The length of a window of the table in seconds. Faults are listed below the window in which they begin.
 const WINDOW_SECONDS: f64 = 2.0;
 
-/// The result of one rule, in a scenario of either kind.
+/// The result of one rule, in a gateway scenario or a fleet scenario.
 pub(super) struct RuleResult<'a> {
-    /// The name in JSON.
+    /// The name of the rule in JSON.
     name: &'static str,
-    /// The words of the table.
+    /// The text for the rule in the table.
     description: &'static str,
     /// A description of each breach.
     breaches: Vec<&'a str>,
 }
 
 impl<'a> RuleResult<'a> {
-    /// The result of a rule, given all breaches of a scenario: each with the rule that it is of and its description.
+    /// The result of `rule`, selected from all breaches of a scenario. Each breach is a pair of
+    /// the violated rule and a description.
     pub(super) fn new<R: PartialEq>(
         rule: &R,
         name: &'static str,
@@ -82,7 +83,7 @@
     })
 }
 
-/// Prints calls by windows of time with the faults between them, latencies, and each rule's verdict.
+/// Prints the calls of each time window with the faults that began in it, the latencies, and the verdict on each rule.
 pub(crate) fn print_tables(scenario: &Scenario, seed: u64, outcome: &Outcome) {
     println!(
         "{}, seed {seed}: {} calls, {} answers received",
--- a/crates/pipithub/src/scenario/run_folder.rs
+++ b/crates/pipithub/src/scenario/run_folder.rs
@@ -1,4 +1,4 @@
-//! The folder into which the processes of a scenario write.
+//! The folder to which the processes of a run write.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,9 +10,9 @@
 }
 
 impl RunFolder {
-    /// The folder that the user named, or else a temporary one whose name contains the kind of run and its seed.
+    /// The folder that the user named, or else a temporary one whose name contains the kind of run and its seed, if any.
     ///
-    /// It is not created here.
+    /// The folder is not created.
     pub(crate) fn new(named: Option<PathBuf>, kind: &str, seed: Option<u64>) -> Self {
         if let Some(path) = named {
             return RunFolder {
@@ -31,12 +31,14 @@
         }
     }
 
-    /// Its path.
+    /// The path of the folder.
     pub(crate) fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The exit code of a run that has ended. The folder of a run with violated rules is kept, and its path printed.
+    /// Returns the exit code of a run that has ended, and removes its folder if it is temporary.
+    ///
+    /// If rules were violated, the folder is kept and its path printed.
     pub(crate) fn finish(&self, rules_kept: bool) -> ExitCode {
         if rules_kept {
             self.remove_if_temporary();
@@ -46,7 +48,7 @@
         ExitCode::FAILURE
     }
 
-    /// Removes the folder unless the user named it. A folder that cannot be removed is left to the operating system.
+    /// Removes the folder unless the user named it. If removing fails, the folder is left to the operating system to clean up.
     fn remove_if_temporary(&self) {
         if self.temporary {
             let _ = std::fs::remove_dir_all(&self.path);
--- a/crates/pipithub/src/serve.rs
+++ b/crates/pipithub/src/serve.rs
@@ -32,7 +32,7 @@
     let gateway = Gateway::start_deciding_by(&config, policy);
     shutdown::requested().await?;
     gateway.stop().await;
-    // The membership ends last, so that other members see this front end until it has answered its last call.
+    // Membership is shut down last, so that other members see this front end until it has answered its last call.
     if let Some(membership) = membership {
         membership.shutdown().await;
     }
--- a/crates/pipithub/src/settings.rs
+++ b/crates/pipithub/src/settings.rs
@@ -6,7 +6,7 @@
 use miette::{IntoDiagnostic, Report, Result, WrapErr};
 use pipithub_settings::Config;
 
-/// Loads a settings file. The error lists everything that is wrong with it, with positions.
+/// Loads a settings file. The error lists every fault in the file, with its position.
 pub(crate) fn load(path: &Path) -> Result<Config> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
--- a/crates/pipithub/src/shutdown.rs
+++ b/crates/pipithub/src/shutdown.rs
@@ -4,7 +4,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::info;
 
-/// The log target of the message below. Log filters of operators name it, so it stays that of the crate's root.
+/// The log target of the message below. Log filters of operators name it, so it stays the name of the crate's root module.
 const LOG_TARGET: &str = "pipithub";
 
 /// Waits for SIGTERM or SIGINT. Fails if no handler can be installed for them.
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `pipithub tenants`: the configured tenants, their directory servers, and how a user is resolved.
+//! `pipithub tenants`: shows the configured tenants, checks their directory servers, and explains how a user is resolved.
 
 mod check;
 mod explain;
--- a/crates/pipithub/src/tenants/check.rs
+++ b/crates/pipithub/src/tenants/check.rs
@@ -15,7 +15,7 @@
     NoAnswer(String),
     /// The server has no entry with this DN, which is the base of the directory.
     NoBase(String),
-    /// The mark attribute is configured, but the server does not show it.
+    /// A mark attribute is configured, but the server returns no change number.
     NoMark,
     /// Another server of the directory has seen a later change.
     Stale,
@@ -32,10 +32,13 @@
         match self {
             ServerFault::NoAnswer(reason) => f.write_str(reason),
             ServerFault::NoBase(base) => {
-                write!(f, "no entry {base}: still loading, or a wrong base")
+                write!(
+                    f,
+                    "no entry {base}: the server is still loading, or the base is wrong"
+                )
             }
             ServerFault::NoMark => {
-                f.write_str("tells no mark: it cannot be seen whether it is behind")
+                f.write_str("returns no change mark: cannot tell whether it is behind")
             }
             ServerFault::Stale => f.write_str("behind another server"),
         }
@@ -44,7 +47,7 @@
 
 impl std::error::Error for ServerFault {}
 
-/// The answer of one server.
+/// The answer of one directory server, with the time it took.
 struct ServerCheck {
     address: String,
     elapsed: Duration,
@@ -64,12 +67,13 @@
         }
     }
 
-    /// The number of the last change that the server has seen, if it answered and shows one.
+    /// The number of the last change that the server has seen; `None` if it did not answer or returned no change number.
     fn change_number(&self) -> Option<u64> {
         self.answer.as_ref().ok()?.change_number
     }
 
-    /// Whether the server is healthy; `newest_change` is the last change that any server of the directory has seen.
+    /// Returns the fault if the server is not healthy; `newest_change` is the last change that any server of the
+    /// directory has seen.
     fn verdict(
         self,
         directory: &DirectoryConfig,
--- a/crates/pipithub/src/tenants/explain.rs
+++ b/crates/pipithub/src/tenants/explain.rs
@@ -1,4 +1,4 @@
-//! `pipithub tenants explain`: the answer of every directory server about a user, and the tenant that follows from it.
+//! `pipithub tenants explain`: the answer of every directory server about a user, and the resulting tenant.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use pipithub_gateway::directory::query_server;
 use pipithub_settings::{Config, DirectoryConfig, TenantsConfig};
 
-/// Cached users of the directory core; one is looked up.
+/// The maximum number of cached users of the directory core; only one user is looked up.
 const MAX_USERS: usize = 16;
-/// Pending look-ups of the directory core.
+/// The maximum number of pending look-ups of the directory core.
 const MAX_QUEUE: usize = 16;
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// Looks a user up with the same core that a front end uses, by asking the servers that it selects.
+/// Looks a user up with the same core that a front end uses, by querying the servers that the core selects.
 async fn look_up(core: &mut Directory, tenants: &TenantsConfig, user: &Arc<str>) {
     let mut outputs = Vec::new();
     let wanted = Input::LookUp {
--- a/crates/pipithub/src/tenants/show.rs
+++ b/crates/pipithub/src/tenants/show.rs
@@ -2,7 +2,7 @@
 
 use pipithub_settings::TenantsConfig;
 
-/// The settings use a bound this large where a tenant has none; it is shown as `-`.
+/// The settings use a limit this large for a tenant without a limit, which is shown as `-`.
 const UNBOUNDED_IN_FLIGHT: usize = 1_000_000;
 
 /// Prints tenants with their quotas, directories and functions.
--- a/crates/pipithub/tests/architecture.rs
+++ b/crates/pipithub/tests/architecture.rs
@@ -1,16 +1,16 @@
-//! The architecture page is held against the sources: each file, function and type that it names is where it says.
+//! Compares the architecture page with the sources: each file, function and type that it names must exist where it says.
 //!
-//! The page follows three forms, and this test reads them:
+//! The page uses three forms, which this test reads:
 //!
 //! - `` `crate/src/file.rs` `` is a path below `crates/`; `` `file.rs` `` after it, in the same paragraph or table cell, is
-//!   a file of the same crate, below its `src`.
-//! - `` `name` in `file.rs` `` says that the file defines that function or type.
+//!   a file of the same crate, below its `src` folder.
+//! - `` `name` in `file.rs` `` says that the file defines this function or type.
 //! - The table under "Crates" has one row for each folder in `crates/`.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// A text between two backticks, and what stands between it and the text before.
+/// The text between two backticks, and the text between it and the preceding code span.
 struct CodeSpan<'a> {
     separator: &'a str,
     text: &'a str,
@@ -60,14 +60,15 @@
         .collect()
 }
 
-/// The crate that a path starts with.
+/// The crate that a path starts with; `None` if it does not start with a crate of this workspace.
 fn crate_of(path: &str) -> Option<&str> {
     path.split('/')
         .next()
         .filter(|name| name.starts_with("pipithub"))
 }
 
-/// Where a file stands that a passage names: itself with its crate, or below the sources of the crate named before it.
+/// The path of a file named in a passage: below `crates/` if it is named with its crate, and otherwise below the sources of
+/// the crate named before it. `None` if there is no such file.
 fn resolve(file: &str, last_crate: Option<&str>) -> Option<PathBuf> {
     let path = match crate_of(file) {
         Some(_) => crates_folder().join(file),
@@ -76,7 +77,7 @@
     path.is_file().then_some(path)
 }
 
-/// Whether a source defines a function or type of this name.
+/// Whether a source file defines a function, type or constant of this name.
 fn defines(source: &str, name: &str) -> bool {
     let keywords = ["fn", "struct", "enum", "trait", "const", "type"];
     source.lines().any(|line| {
@@ -89,7 +90,7 @@
     })
 }
 
-/// What a page says of the sources that is not so.
+/// The statements of a page about the sources that are wrong.
 fn wrong_statements(page: &str) -> Vec<String> {
     let mut wrong = Vec::new();
     for passage in passages(page) {
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, run as a user would.
+//! Tests of the commands of the program, run as a user would run them.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Output, Stdio};
@@ -12,6 +12,7 @@
         .expect("it runs")
 }
 
+/// Writes a file of this test run into a temporary folder and returns its path.
 fn write_file(name: &str, text: &str) -> String {
     let folder = std::env::temp_dir().join(format!("pipithub-cli-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -20,7 +21,7 @@
     path.display().to_string()
 }
 
-/// An emulated server as a process, ended when dropped.
+/// An emulated server that runs as a process, which is killed when dropped.
 struct Emulator {
     process: Child,
     address: String,
@@ -40,8 +41,8 @@
         BufReader::new(child.stdout.take().expect("a pipe"))
             .read_line(&mut line)
             .expect("its first line");
-        let announced: serde_json::Value = serde_json::from_str(&line).expect("JSON");
-        let address = announced["address"]
+        let announcement: serde_json::Value = serde_json::from_str(&line).expect("JSON");
+        let address = announcement["address"]
             .as_str()
             .expect("an address")
             .to_string();
@@ -138,7 +139,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("loopback alone"));
 }
 
-/// Scripts may use the former names of commands, which must give the same output.
+/// Scripts may use the former names of commands, so these must give the same output as the present names.
 #[test]
 fn renamed_commands_accept_their_former_names() {
     let no_fleet = write_file(
@@ -259,18 +260,19 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("not within the directory's"));
 }
 
-/// All rules including tenant isolation, with faults of directory servers.
+/// Checks all rules including tenant isolation, with faults of directory servers.
 #[test]
 fn scenario_with_tenants_keeps_all_rules() {
     check_all_rules("bad-day-tenants.kdl");
 }
 
-/// All rules without tenants, checked on the traffic between real processes.
+/// Checks all rules without tenants on the traffic between real processes.
 #[test]
 fn small_fault_scenario_keeps_all_rules() {
     check_all_rules("bad-day-small.kdl");
 }
 
+/// Runs a scenario file and checks that the gateway keeps all rules.
 fn check_all_rules(scenario: &str) {
     let scenario = format!("{}/../../scenarios/{scenario}", env!("CARGO_MANIFEST_DIR"));
     let output = run(&["scenario", &scenario, "--seed", "7", "--json"]);
--- a/crates/pipithub/tests/discovery_outage.rs
+++ b/crates/pipithub/tests/discovery_outage.rs
@@ -1,13 +1,13 @@
-//! Front ends as processes, while discovery is out of reach and workers drain.
+//! Front ends run as processes while discovery is unreachable and workers drain.
 //!
-//! The incident: before a release, discovery was out of reach for every front end for longer than the platform's clocks for
-//! silence. Workers began to drain just after that and stayed up. The front ends went on sending them calls and load commands,
-//! 3,703 and 62 of them, past the notified time and the grace. The workers turned them away.
+//! The incident: before a release, no front end could reach discovery for longer than the platform's timeouts for silence.
+//! Shortly after the outage began, workers began to drain, and they stayed up. The front ends went on sending them 3,703 calls
+//! and 62 load commands after the announced time and the drain grace. The workers rejected them.
 //!
-//! How it came about: a front end that cannot reach the coordinator logs that and connects again, but nothing told its decisions
-//! of it. The last endpoint list stayed in force without a limit of age, and a call that is turned away counts as a sign of a
-//! full worker. What proved it: the log of each front end shows `last=1` throughout, so no event came after the first one; the
-//! sends go on for the whole outage, longer than any call waits; and this test, with the same steps, shows the same sends.
+//! The cause: a front end that could not reach the coordinator logged this and reconnected, but did not report it to its decision
+//! module. The last endpoint list stayed in force without an age limit, and a rejected call counted as a sign of a full worker.
+//! The evidence: the log of each front end shows `last=1` throughout, so no event arrived after the first one; the sends
+//! continued for the whole outage, longer than any call waits; and this test, with the same steps, showed the same sends.
 #![cfg(target_os = "linux")]
 
 use std::path::Path;
@@ -17,14 +17,15 @@
     OutageKind, Plan, Rates, Rule, Settings, Step, TimedStep, Verdict, check, run,
 };
 
-/// Beyond the platform's own 50 ms, as the machine of the tests may be busy; the incident's sends went on for seconds.
+/// The tolerance of time limits. It exceeds the platform's 50 ms because the test machine may be busy; in the incident the
+/// sends continued for seconds.
 const SLACK: Duration = Duration::from_millis(300);
 
 const fn milliseconds(time: u64) -> Duration {
     Duration::from_millis(time)
 }
 
-/// The steps of the incident: discovery gets out of reach, and 0.6 s later two of twelve workers begin to drain.
+/// The steps of the incident: discovery becomes unreachable, and 0.6 s later two of twelve workers begin to drain.
 fn incident(kind: OutageKind) -> Plan {
     let begin = Step::BeginOutage {
         nodes: vec![0, 1, 2],
@@ -54,15 +55,15 @@
     }
 }
 
-/// Seeds of the soak in CI; the long one is started by hand, with `pipithub outage`.
+/// The seeds of the soak test in CI; a longer soak test is started by hand with `pipithub outage`.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
-/// How many of them run at the same time.
+/// The number of threads on which the seeds run.
 const THREADS: usize = 3;
 
 fn play(plan: &Plan) -> Verdict {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let binary = Path::new(env!("CARGO_BIN_EXE_pipithub"));
-    let history = run(plan, binary, folder.path()).expect("played to its end");
+    let history = run(plan, binary, folder.path()).expect("the run is completed");
     check(plan, &history, SLACK)
 }
 
@@ -84,7 +85,7 @@
         assert!(verdict.breaches.is_empty(), "{kind:?}: {shown:#?}");
         assert!(
             verdict.served_ratio() > 0.9,
-            "{kind:?}: a service can go on serving, {} of {}",
+            "{kind:?}: calls are still served during the outage, {} of {}",
             verdict.served,
             verdict.calls
         );
@@ -107,7 +108,7 @@
             .collect();
         parts
             .into_iter()
-            .flat_map(|part| part.join().expect("played"))
+            .flat_map(|part| part.join().expect("the runs end without a panic"))
             .collect()
     });
     for (seed, verdict) in verdicts {
@@ -119,7 +120,7 @@
         );
         assert!(
             verdict.health_checks > 0,
-            "seed {seed}: the outage was noticed"
+            "seed {seed}: the outage was noticed, so health checks were made"
         );
     }
 }
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Front ends of a fleet as processes, and the commands that show its membership.
+//! Runs the front ends of a fleet as processes, and the commands that show its membership.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -13,6 +13,7 @@
         .expect("it runs")
 }
 
+/// Writes the settings of a front end, with further lines for its fleet, and returns the path of the file.
 fn settings(folder: &Path, name: &str, more: &str) -> String {
     let data = folder.join(name);
     let text = format!(
@@ -35,6 +36,7 @@
     }
 }
 
+/// Starts a front end with a settings file.
 fn serve(config: &str) -> Running {
     let mut command = Command::new(BINARY);
     command
@@ -44,7 +46,7 @@
     Running(command.spawn().expect("it starts"))
 }
 
-/// Polls the membership report until it is as expected. The bound is generous, as only a failing test reaches it.
+/// Polls the membership report until it is as expected. The timeout of 60 s is generous, as only a failing test reaches it.
 fn wait_for_status(
     config: &str,
     is_expected: impl Fn(&serde_json::Value) -> bool,
@@ -101,7 +103,7 @@
     let out = run(&["membership", "status", "--config", &one]);
     assert!(
         !out.status.success(),
-        "a process that does not run is no member"
+        "a front end that is not running is not a member"
     );
     assert!(String::from_utf8_lossy(&out.stdout).contains("not running now"));
 }
--- a/crates/pipithub/tests/restarts.rs
+++ b/crates/pipithub/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Starts, shutdowns, kills and reloads of front ends as processes. Each happens at a point that the test recognises on a
-//! socket, a pipe or in the log.
+//! Starts, shutdowns, kills and reloads of front ends that run as processes. Each test waits on a socket, a pipe or the log
+//! until the front end has reached the point at which the event must happen.
 #![cfg(target_os = "linux")]
 
 mod rig;
@@ -31,15 +31,15 @@
             .success()
     );
     let mut front_end = FrontEndProcess::spawn(&config_file.0, None);
-    // This returns when the program has opened the other end.
+    // The open call returns when the program has opened the other end.
     let mut pipe = std::fs::OpenOptions::new()
         .write(true)
         .open(&config_file.0)
-        .expect("a pipe");
+        .expect("the pipe is opened");
     front_end.signal("HUP");
     pipe.write_all(config(first_address, worker_address).to_string().as_bytes())
-        .expect("it is still there");
-    // The file is replaced before its first reading ends.
+        .expect("the front end still reads the pipe");
+    // The file is replaced before the first read of the configuration ends.
     let fresh = TempFile::new("fresh");
     write(&fresh, &config(second_address, worker_address).to_string());
     std::fs::rename(&fresh.0, &config_file.0).expect("replaced");
@@ -67,10 +67,10 @@
     front_end.signal("HUP");
     front_end.wait_for_log("previous configuration stays in force");
     write(&config_file, &whole);
-    // It reads the file again without a further signal.
+    // The front end reads the file again without a further signal.
     let (_open, request) = serve_events(&second, &[event(2, worker_address)]);
     assert!(request.contains("last-event-id: 1"), "{request}");
-    // Of two reloads in a row the last one counts.
+    // After two reloads in a row, the configuration of the second one is in force.
     write(
         &config_file,
         &config(first_address, worker_address).to_string(),
@@ -86,7 +86,7 @@
     assert!(Peer::connect(address).is_healthy(1));
 }
 
-/// Every request gets its answer, whether it was sent before or after SIGTERM, and the process ends.
+/// Every request is answered, whether it was sent before or after SIGTERM, and the process ends.
 #[test]
 fn graceful_shutdown_answers_pending_and_newly_arriving_requests() {
     let ((workers, worker_address), (_list, coordinator_address)) =
@@ -106,13 +106,13 @@
     front_end.signal("TERM");
     front_end.wait_for_log("shutting down");
     assert!(!other.is_healthy(2));
-    // On an open connection, on a new one, and on one whose client has gone by the time of its answer.
+    // Calls after SIGTERM: on an open connection, on a new one, and on one whose client closes it before the answer.
     open.send(&call_line(2, "assign"));
     let mut late = Peer::connect(address);
     late.send(&call_line(3, "assign"));
     let mut gone = Peer::connect(address);
     gone.send(&call_line(4, "assign"));
-    // All of them reach the worker, each on a connection of its own, and are pending.
+    // All calls reach the worker, each on its own connection, and are pending.
     let mut held = vec![(worker_peer, first)];
     while held.len() < 4 {
         let mut next = Peer::new(workers.accept().expect("a connection").0);
@@ -131,15 +131,22 @@
         .collect();
     ids.sort_unstable();
     assert_eq!(ids, [1, 2, 3]);
-    assert!(front_end.process.0.wait().expect("it ends").success());
+    assert!(
+        front_end
+            .process
+            .0
+            .wait()
+            .expect("the process ends")
+            .success()
+    );
     assert_eq!(
         (open.receive(), late.receive(), other.receive()),
         (None, None, None),
-        "nothing more, and no reset"
+        "the connections end without further answers and without a reset"
     );
 }
 
-/// A pending call is answered as failed, and the process ends before the platform would kill it.
+/// The pending call is answered as failed, and the process ends by itself, before the platform would kill it.
 #[test]
 fn graceful_shutdown_ends_although_a_worker_hangs() {
     let ((workers, worker_address), (_list, coordinator_address)) =
@@ -161,14 +168,21 @@
         "it may have run"
     );
     assert_eq!(client.receive(), None);
-    assert!(front_end.process.0.wait().expect("it ends").success());
+    assert!(
+        front_end
+            .process
+            .0
+            .wait()
+            .expect("the process ends")
+            .success()
+    );
 }
 
-/// The workers that the configuration lists are enough to serve without the coordinator.
+/// The front end serves without the coordinator, from the workers that its configuration lists.
 #[test]
 fn killed_front_end_serves_after_a_restart_without_discovery() {
     let (workers, worker_address) = bind_listener();
-    // The listener is dropped at once, so that nothing listens on its address.
+    // The listener is dropped at once, so that nothing listens on the address of the coordinator.
     let coordinator_address = bind_listener().1;
     std::thread::spawn(move || run_worker(workers));
     let config_file = TempFile::new("kill");
@@ -183,11 +197,19 @@
         client.send(&call_line(2 + round, "assign"));
         assert!(client.receive().expect("an answer")["result"].is_object());
         front_end.signal("KILL");
-        assert!(!front_end.process.0.wait().expect("it ends").success());
+        assert!(
+            !front_end
+                .process
+                .0
+                .wait()
+                .expect("the process ends")
+                .success()
+        );
     }
 }
 
-/// Idle clients open as many connections as they can without discovery; calls, workers and the list still get descriptors.
+/// Idle clients open as many connections as they can while the coordinator is unreachable. File descriptors still remain for
+/// calls, for connections to workers and for the endpoint list.
 #[test]
 fn idle_clients_leave_descriptors_for_workers_and_the_endpoint_list() {
     let (workers, worker_address) = bind_listener();
@@ -207,7 +229,7 @@
         client.is_healthy(1);
         idle.push(client);
     }
-    // Further clients that connect at once and send nothing.
+    // Further clients connect at the same time and send nothing.
     let silent: Vec<Peer> = (0..200).map(|_| Peer::connect(address)).collect();
     let mut client = Peer::connect(address);
     for id in 1..=50 {
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! Front ends as processes, and the workers and coordinators that tests emulate.
+//! Test support: front ends as processes, and emulated workers and coordinators.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Lines, Read, Write};
@@ -10,7 +10,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
-/// A process that is ended when dropped.
+/// Kills and reaps a process when dropped.
 pub(crate) struct ProcessGuard(pub Child);
 
 impl Drop for ProcessGuard {
@@ -20,7 +20,7 @@
     }
 }
 
-/// A worker that answers every request, until the test ends.
+/// Runs a worker that answers every request as served, until the test ends.
 pub(crate) fn run_worker(listener: TcpListener) {
     for stream in listener.incoming().map_while(Result::ok) {
         std::thread::spawn(move || {
@@ -36,14 +36,14 @@
     }
 }
 
-/// A listener on a free port, and its address.
+/// Binds a listener to a free port; returns it with its address.
 pub(crate) fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
-/// The path of a file of this test, which is removed at its end.
+/// The path of a temporary file, which is removed when dropped.
 pub(crate) struct TempFile(pub PathBuf);
 
 impl TempFile {
@@ -58,7 +58,8 @@
     }
 }
 
-/// The configuration of a front end that knows one worker: calls of the class `view` are idempotent, those of `assign` not.
+/// The configuration of a front end that knows one worker. Calls of class `view` are idempotent, calls of class `assign` are
+/// not.
 pub(crate) fn config(coordinator: SocketAddr, worker: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Effect": effect, "Aim": 30_000_000_000u64,
@@ -73,25 +74,25 @@
     })
 }
 
-/// A list event with this worker only.
+/// An endpoint list event with this worker only.
 pub(crate) fn event(index: u64, worker: SocketAddr) -> Value {
     json!({"index": index, "endpoints": {"seq": index, "whole": true, "hosts": [
         {"host": format!("w{}", worker.port()), "dial": worker.to_string(), "site": "a", "health": "SERVING"}]}})
 }
 
-/// A front end as a process.
+/// A front end as a process, with the lines of its log.
 pub(crate) struct FrontEndProcess {
     pub process: ProcessGuard,
     pub log: Lines<BufReader<ChildStderr>>,
 }
 
 impl FrontEndProcess {
-    /// Starts it, with a limit on file descriptors if one is given.
+    /// Starts a front end, with a limit on file descriptors if one is given.
     pub(crate) fn spawn(config: &Path, descriptors: Option<u32>) -> Self {
         let mut command = match descriptors {
             None => Command::new(BINARY),
             Some(limit) => {
-                // As on the platform, the shell becomes the program.
+                // As on the platform, the shell replaces itself with the program by `exec`.
                 let mut shell = Command::new("/bin/sh");
                 shell.args([
                     "-c",
@@ -116,15 +117,15 @@
         FrontEndProcess { process, log }
     }
 
-    /// Waits for a line of its log that contains this message.
+    /// Waits for a line of the log that contains this message, and returns the line.
     pub(crate) fn wait_for_log(&mut self, message: &str) -> String {
         let mut lines = self.log.by_ref().map_while(Result::ok);
         lines
             .find(|line| line.contains(message))
-            .unwrap_or_else(|| panic!("it ended without logging {message:?}"))
+            .unwrap_or_else(|| panic!("the front end ended without logging {message:?}"))
     }
 
-    /// Waits until it is up; returns the address for clients.
+    /// Waits until the front end is up; returns its address for clients.
     pub(crate) fn wait_until_up(&mut self) -> SocketAddr {
         let line = self.wait_for_log("front end up");
         let address = line
@@ -134,7 +135,7 @@
         address.trim_matches('"').parse().expect("an address")
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the front end.
     pub(crate) fn signal(&self, name: &str) {
         let id = self.process.0.id().to_string();
         let done = Command::new("kill")
@@ -145,7 +146,7 @@
     }
 }
 
-/// One end of a connection that carries lines.
+/// One end of a connection whose messages are lines of JSON.
 pub(crate) struct Peer {
     lines: Lines<BufReader<TcpStream>>,
     write: TcpStream,
@@ -174,7 +175,7 @@
         self.write.write_all(text.as_bytes()).expect("written");
     }
 
-    /// Whether the front end reports itself as healthy.
+    /// Asks the front end whether it is healthy, in a request with this id.
     pub(crate) fn is_healthy(&mut self, id: u64) -> bool {
         self.send(&format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
@@ -182,23 +183,24 @@
         self.receive().expect("an answer")["result"]["healthy"] == true
     }
 
-    /// Answers a request as a worker that served it.
+    /// Answers a request as a worker that has served it.
     pub(crate) fn serve(&mut self, request: &Value) {
         let answer = json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
         self.send(&format!("{answer}\n"));
     }
 }
 
-/// The line of a call.
+/// The line that a client sends for a call.
 pub(crate) fn call_line(id: u64, class: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
         {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": "aGVsbG8="}});
     format!("{call}\n")
 }
 
-/// Accepts the next connection of a coordinator and sends these events; returns the open connection and the request.
+/// Accepts the next connection to a coordinator and sends these events; returns the open connection and the request in
+/// lower case.
 pub(crate) fn serve_events(list: &TcpListener, events: &[Value]) -> (TcpStream, String) {
-    let (mut stream, _) = list.accept().expect("it asks");
+    let (mut stream, _) = list.accept().expect("the front end connects");
     let (mut request, mut byte) = (Vec::new(), [0]);
     while !request.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("a request");
--- a/crates/pipithub/tests/run_line.rs
+++ b/crates/pipithub/tests/run_line.rs
@@ -1,5 +1,5 @@
-//! The platform's requirements for `run` in the deploy file: the shell's `exec` becomes one process, which is linked
-//! dynamically against the C library, starts no other process, and opens only TCP and UDP sockets over IPv4.
+//! The platform's requirements for `run` in the deploy file: the shell is replaced through `exec` by a single process, which is
+//! linked dynamically against the C library, starts no other process, and opens only TCP and UDP sockets over IPv4.
 #![cfg(target_os = "linux")]
 
 mod rig;
@@ -17,7 +17,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
-/// How a program is linked: whether it has an interpreter, and the libraries that it needs.
+/// How a program is linked: whether it names an interpreter (the dynamic linker), and the libraries that it needs.
 fn linkage(bytes: &[u8]) -> object::Result<(bool, Vec<String>)> {
     let header = elf::FileHeader64::<Endianness>::parse(bytes)?;
     let endian = header.endian()?;
@@ -38,9 +38,13 @@
 
 /// What a running process does that the platform does not allow.
 fn violations(pid: u32) -> Vec<String> {
-    let process = Process::new(pid as i32).expect("it runs");
+    let process = Process::new(pid as i32).expect("the process runs");
     let mut found = Vec::new();
-    for task in process.tasks().expect("its threads").map_while(Result::ok) {
+    for task in process
+        .tasks()
+        .expect("the threads of the process")
+        .map_while(Result::ok)
+    {
         found.extend(
             task.children()
                 .into_iter()
@@ -48,8 +52,8 @@
                 .map(|child| format!("child {child}")),
         );
     }
-    // A child that has ended and was waited for leaves its page faults in the sums.
-    let stat = process.stat().expect("its figures");
+    // The page faults of children that have ended and been waited for are added to these counters.
+    let stat = process.stat().expect("the statistics of the process");
     if stat.cminflt + stat.cmajflt > 0 {
         found.push("a child that has ended".to_string());
     }
@@ -77,7 +81,11 @@
             .filter(|s| s.path.is_none())
             .map(|s| s.inode),
     );
-    for fd in process.fd().expect("its descriptors").map_while(Result::ok) {
+    for fd in process
+        .fd()
+        .expect("the file descriptors of the process")
+        .map_while(Result::ok)
+    {
         match fd.target {
             FDTarget::Socket(inode) if !allowed.contains(&inode) => {
                 found.push(format!("socket {}", fd.fd));
@@ -95,7 +103,7 @@
 fn deploy_file_starts_a_single_program_by_exec() {
     let deploy_file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
     let deploy: toml::Table = std::fs::read_to_string(deploy_file)
-        .expect("it is there")
+        .expect("the deploy file can be read")
         .parse()
         .expect("TOML");
     let run = deploy["run"].as_str().expect("a line");
@@ -103,7 +111,7 @@
     assert_eq!(
         words,
         ["exec", "target/release/pipithub", "node"],
-        "no shell stays and nothing runs beside it"
+        "no shell remains and no other program is started"
     );
     assert!(
         deploy["build"]
@@ -115,29 +123,29 @@
 
 #[test]
 fn program_is_linked_dynamically_against_the_c_library() {
-    let mut bytes = std::fs::read(BINARY).expect("it was built");
+    let mut bytes = std::fs::read(BINARY).expect("the program was built");
     let (has_interpreter, needed_libraries) = linkage(&bytes).expect("a program");
     assert!(
         has_interpreter && needed_libraries.iter().any(|n| n.starts_with("libc.so")),
         "{needed_libraries:?}"
     );
-    // The check itself is tested: a statically linked program, without an interpreter, is recognised.
+    // Tests the check itself: a program without an interpreter, such as a statically linked one, is recognized.
     let header = elf::FileHeader64::<Endianness>::parse(&*bytes).expect("a header");
-    let endian = header.endian().expect("its order");
+    let endian = header.endian().expect("its byte order");
     let at = header.e_phoff.get(endian) as usize;
     let size = usize::from(header.e_phentsize.get(endian));
     let segments = header.program_headers(endian, &*bytes).expect("segments");
     let which = segments
         .iter()
         .position(|s| s.p_type.get(endian) == elf::PT_INTERP)
-        .expect("one names it");
+        .expect("a segment names the interpreter");
     bytes[at + which * size..][..4].copy_from_slice(&0u32.to_ne_bytes());
     assert!(!linkage(&bytes).expect("a program").0);
 }
 
 #[test]
 fn violations_of_platform_rules_are_detected() {
-    // A shell that stays beside its child.
+    // A shell that keeps running beside its child.
     let mut shell = Command::new("sh")
         .args(["-c", "exec 3<&0; cat <&3 & wait"])
         .stdin(Stdio::piped())
@@ -146,7 +154,7 @@
     let seen = std::iter::repeat_with(|| violations(shell.id()))
         .take(100_000)
         .find(|b| !b.is_empty())
-        .expect("in the end");
+        .expect("the child is found in the end");
     assert!(seen[0].starts_with("child"), "{seen:?}");
     drop(shell.stdin.take());
     shell.wait().expect("ends with its child");
@@ -157,7 +165,7 @@
         violations(std::process::id())
             .iter()
             .any(|b| b.starts_with("socket")),
-        "a path"
+        "a socket with a path is found"
     );
     drop(named);
     std::fs::remove_file(&path).expect("removed");
@@ -175,7 +183,7 @@
     })
 }
 
-/// Starts a front end as the platform does: a shell that becomes the program by `exec`. Returns its address as well.
+/// Starts a front end as the platform does, by a shell that becomes the program through `exec`; returns it with its address.
 fn start_by_shell(config: &Path) -> (ProcessGuard, String) {
     let mut command = Command::new("/bin/sh");
     command
@@ -192,7 +200,7 @@
         .lines()
         .map_while(Result::ok)
         .find(|line| line.contains("front end up"))
-        .expect("it comes up");
+        .expect("the front end comes up");
     let address = up
         .split_whitespace()
         .find_map(|word| word.strip_prefix("address="))
@@ -200,7 +208,7 @@
     (child, address.trim_matches('"').to_string())
 }
 
-/// Sends calls one after the other and checks that each is served.
+/// Sends calls one after the other and checks that each is served; returns the open connection.
 fn make_calls(address: &str, count: u64) -> TcpStream {
     let mut write = TcpStream::connect(address).expect("connects");
     let mut lines = BufReader::new(write.try_clone().expect("a second handle")).lines();
@@ -230,7 +238,9 @@
     let (child, address) = start_by_shell(&file);
     std::fs::remove_file(&file).expect("removed");
     std::thread::spawn(move || run_worker(worker_listener));
-    let (mut coordinator, _) = list_listener.accept().expect("it asks for the list");
+    let (mut coordinator, _) = list_listener
+        .accept()
+        .expect("the front end requests the list");
     assert!(coordinator.read(&mut [0; 512]).expect("a request") > 0);
 
     // The connection stays open while the process is examined.
@@ -241,6 +251,6 @@
     assert_eq!(
         runs.file_name(),
         Path::new(BINARY).file_name(),
-        "no shell stays before it"
+        "the shell has been replaced by the program"
     );
 }
