--- a/crates/pipithub-characterization/src/adapter_scenario.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario.rs
@@ -1,7 +1,7 @@
 //! A scripted scenario on the adapter's line protocol.
 //!
-//! One to three front ends share a tier of workers. Each action is answered after a drawn time with a drawn outcome;
-//! incidents (crashes, drains, outages of a zone, failing loads, evictions, restarts) happen at drawn times.
+//! One to three front ends share the same workers. Each action of a front end is answered after a randomly drawn time with a
+//! drawn outcome; incidents (crashes, drains, outages of a zone, failing loads, evictions, restarts) happen at drawn times.
 
 mod actions;
 mod discovery;
@@ -14,7 +14,7 @@
 
 pub use world::{LineProtocol, run};
 
-/// Kinds of events and actions that the drawn scenarios hold, each of them at least once.
+/// Kinds of scenarios, events and actions. Each of them must occur in the drawn scenarios at least once.
 pub const KINDS: &[&str] = &[
     "scenario with at most 512 workers",
     "scenario with more than 512 workers",
--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -1,4 +1,4 @@
-//! What the actions of a front end bring about.
+//! The effects of the actions of a front end.
 
 use super::MILLISECOND;
 use super::event::FrontEndEvent;
@@ -120,7 +120,7 @@
         self.schedule_for(front_end, now + result.after, ended);
     }
 
-    /// How an attempt ends that reaches its worker.
+    /// Draws how an attempt that reaches its worker ends.
     fn draw_result(&mut self, worker: usize, function: u64) -> AttemptResult {
         let errors = self.errors_on_all_workers;
         if self.now < errors.until && self.random.per_mille(errors.per_mille) {
@@ -163,7 +163,7 @@
     }
 }
 
-/// The kind that an action is counted under.
+/// The kind under which an action is counted.
 fn action_kind<'a>(parts: &[&'a str]) -> &'a str {
     match parts[0] {
         "reject" if parts[3] == "-" => "reject without a time",
--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -23,14 +23,14 @@
         }
     }
 
-    /// The workers that the endpoint list holds.
+    /// The workers in the endpoint list.
     pub(super) fn present_workers(&self) -> Vec<usize> {
         (0..self.workers.len())
             .filter(|worker| self.workers[*worker].state != EndpointState::Removed)
             .collect()
     }
 
-    /// The index of a function; rare and common ones are equally likely.
+    /// Draws the index of a function; rare and popular functions are equally likely.
     pub(super) fn any_function(&mut self) -> usize {
         self.random.between(0, self.functions.len() as u64 - 1) as usize
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Attempts of a front end that ends are no longer in flight at the workers.
+    /// Removes the attempts of a front end that ends from the attempts in flight at the workers.
     pub(super) fn release_attempts(&mut self, front_end: usize) {
         let attempts = self.front_ends[front_end]
             .requests
@@ -108,7 +108,7 @@
 
     pub(super) fn restart_front_end(&mut self) {
         let number = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
-        // Lines for it that are already in the batch stay: they came before its end.
+        // Lines for the front end that are already in the batch stay: they were emitted before it was killed.
         self.emit("killed", format!("killed {number}"));
         self.attach(number);
     }
--- a/crates/pipithub-characterization/src/adapter_scenario/event.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/event.rs
@@ -1,13 +1,13 @@
-//! The events of a scenario, by what becomes due.
+//! The events that are scheduled in a scenario.
 
 use super::tier::EndpointState;
 
 /// An event of the scenario.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A client sends a request of a function, or of any.
+    /// A client sends a request for a function, or for a drawn one if `function` is `None`.
     Arrival {
-        /// Whether the next arrival follows after a drawn time.
+        /// Whether this arrival schedules the next one, after a drawn time.
         recurring: bool,
         function: Option<usize>,
     },
@@ -15,11 +15,11 @@
     Incident,
     /// Discovery publishes another state of a worker.
     StateChanges { worker: usize, state: EndpointState },
-    /// A worker that had stopped is back as another process.
+    /// A worker that had stopped runs again as a new process.
     Restarted { worker: usize },
     /// A worker that was impaired is healthy again.
     Recovered { worker: usize },
-    /// An event for one front end; it is dropped once that incarnation of it has ended.
+    /// An event for one front end; the event is dropped if this incarnation of the front end has ended.
     FrontEnd {
         front_end: usize,
         incarnation: u64,
@@ -30,9 +30,9 @@
 /// An event for one front end.
 #[derive(Debug)]
 pub(super) enum FrontEndEvent {
-    /// A line that only has to be passed on.
+    /// A line that is added to the batch unchanged.
     Line { line: String },
-    /// The reply to its subscription to the endpoint list.
+    /// The reply to the front end's subscription to the endpoint list.
     SubscriptionAnswer,
     /// The response of a streamed request begins.
     StreamBegins { request: u64, attempt: usize },
@@ -43,7 +43,7 @@
         status: &'static str,
         detail: u32,
     },
-    /// The client's time for a request is over.
+    /// The deadline of a request has passed.
     Deadline { request: u64 },
     /// The client cancels a request.
     ClientCancels { request: u64 },
--- a/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -1,4 +1,4 @@
-//! Incidents: what happens to workers and front ends in the course of a scenario.
+//! Incidents that happen to workers and front ends in the course of a scenario.
 
 use super::event::Event;
 use super::settings::ZONES;
@@ -7,7 +7,7 @@
 use super::{MILLISECOND, SECOND};
 
 impl World<'_> {
-    /// One incident; the next one follows after a drawn time.
+    /// Causes one incident and schedules the next one after a drawn time.
     pub(super) fn incident(&mut self) {
         let next = self.random.between(50, 700) * MILLISECOND;
         self.schedule.add(self.now + next, Event::Incident);
@@ -75,14 +75,14 @@
         }
     }
 
-    /// A worker that was impaired is healthy again.
+    /// Makes a worker that was impaired healthy again, unless it has crashed.
     pub(super) fn recovered(&mut self, worker: usize) {
         if self.workers[worker].condition != Condition::Crashed {
             self.workers[worker].condition = Condition::Healthy;
         }
     }
 
-    /// A worker is back as another process.
+    /// Restarts a worker as a new process.
     pub(super) fn restarted(&mut self, worker: usize) {
         let now = self.now;
         let restarted = &mut self.workers[worker];
@@ -93,7 +93,7 @@
         self.publish_state(worker, EndpointState::Ready);
     }
 
-    /// Discovery publishes a state of a worker.
+    /// Publishes a state of a worker through discovery.
     pub(super) fn publish_state(&mut self, worker: usize, state: EndpointState) {
         self.workers[worker].state = state;
         self.notify_changes(&[worker]);
@@ -115,7 +115,7 @@
         };
     }
 
-    /// Many requests at once, of one function or of any.
+    /// Sends many requests at once, for one function or for drawn functions.
     fn burst(&mut self) {
         let function = self.random.per_mille(500).then(|| self.any_function());
         for _ in 0..self.random.between(3, 25) {
--- a/crates/pipithub-characterization/src/adapter_scenario/requests.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/requests.rs
@@ -7,7 +7,7 @@
 use super::world::World;
 use crate::random::Random;
 
-/// An attempt of a front end at a request.
+/// An attempt of a front end to have a request served by a worker.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) worker: usize,
@@ -20,11 +20,11 @@
 pub(super) struct Request {
     pub(super) function: u64,
     pub(super) deadline: u64,
-    /// Whether its response is streamed.
+    /// Whether the response is streamed.
     pub(super) stream: bool,
-    /// Whether its response has started.
+    /// Whether a streamed response has started.
     pub(super) streaming: bool,
-    /// Whether it has ended.
+    /// Whether the request has ended.
     pub(super) settled: bool,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -33,12 +33,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct Function {
     name: u64,
-    /// Memory of one replica, in MB.
+    /// The memory of one replica, in MB.
     memory: u64,
     replica_concurrency: u64,
-    /// The usual time of a load in milliseconds; `None` if unknown.
+    /// The usual load time in milliseconds; `None` if the client does not specify it.
     load: Option<u64>,
-    /// The index of its class in the settings.
+    /// The index of the function's class in the settings.
     class: usize,
 }
 
@@ -54,7 +54,7 @@
             self.schedule.add(self.now + gap, next);
         }
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
-        // It is drawn in any case, so that the numbers drawn afterwards do not depend on `function`.
+        // A function is drawn in any case, so that the numbers drawn afterwards do not depend on `function`.
         let popular = self.popular_function();
         let function = self.functions[function.unwrap_or(popular)].clone();
         let class = &self.settings.classes[function.class];
@@ -74,7 +74,7 @@
         let deadline = self.now + timeout;
         self.schedule_for(front_end, deadline, FrontEndEvent::Deadline { request: id });
         if self.random.per_mille(50) {
-            // Some cancel at once: attempts that are sent for them afterwards are moot.
+            // Some clients cancel at once: attempts that are sent for their requests afterwards are obsolete.
             let after = if self.random.per_mille(200) {
                 0
             } else {
@@ -161,7 +161,8 @@
         self.emit(&format!("completed {status}"), line);
     }
 
-    /// The client's time is over: attempts in flight time out, and a pending request is cancelled a little later.
+    /// The deadline of a request has passed: its attempts in flight time out, and the client cancels the request 8 ms later unless
+    /// the request has ended by then. A streaming response goes on.
     pub(super) fn deadline(&mut self, front_end: usize, id: u64) {
         let Some(request) = self.front_ends[front_end].requests.get(&id) else {
             return;
@@ -179,7 +180,7 @@
         self.schedule_for(front_end, self.now + 8 * MILLISECOND, cancels);
     }
 
-    /// The client cancels; the front end learns of it a little later.
+    /// The client cancels a request; the front end is informed up to 20 ms later.
     pub(super) fn client_cancels(&mut self, front_end: usize, id: u64) {
         let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
             return;
--- a/crates/pipithub-characterization/src/adapter_scenario/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a scenario, drawn and written as the text that a front end is attached with.
+//! The settings of a scenario: drawn at random, and formatted as the text that is sent when a front end is attached.
 
 use std::fmt::Write;
 
@@ -7,9 +7,9 @@
 
 /// The names of the zones.
 pub(super) const ZONES: [&str; 3] = ["east", "west", "north"];
-/// Names of machine kinds.
+/// The names of the machine kinds.
 pub(super) const MACHINE_KINDS: [&str; 2] = ["std-2c", "slow-2c"];
-/// Memory of the machine kinds, in MB.
+/// The memory of the machine kinds, in MB.
 const MEMORY: [u64; 2] = [4_096, 8_192];
 
 /// A class of requests.
@@ -23,7 +23,7 @@
     pub(super) stream: bool,
 }
 
-/// The settings of a front end. Fields that only their text needs are private.
+/// The settings of a front end. Fields that are used only in their text are private.
 #[derive(Debug)]
 pub(super) struct Settings {
     pub(super) classes: Vec<Class>,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The text for the front end of this number. It is formatted by hand, so that no library can change the order of its
-    /// keys.
+    /// The text of the settings for the front end with this number. It is formatted by hand, so that no
+    /// library can change the order of its keys.
     pub(super) fn text(&self, number: u64) -> String {
         let classes: Vec<String> = self.classes.iter().map(Class::text).collect();
         let mut text = String::new();
--- a/crates/pipithub-characterization/src/adapter_scenario/tier.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/tier.rs
@@ -1,4 +1,4 @@
-//! The workers of a scenario and how each of them answers.
+//! The workers of a scenario and how they answer.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 use super::{MILLISECOND, SECOND};
 use crate::random::Random;
 
-/// Requests that a worker has in flight before it rejects others.
+/// The number of requests in flight at which a worker rejects further ones.
 const CAPACITY: u32 = 12;
-/// Functions of which a worker has replicas at a time.
+/// The maximum number of functions of which a worker has replicas at the same time.
 const MAX_REPLICAS: usize = 6;
 
 /// The state of a worker in the endpoint list.
@@ -26,13 +26,13 @@
     Slow,
     Failing,
     AtCapacity,
-    /// Connections to it fail at once.
+    /// Connections to the worker fail at once.
     Crashed,
-    /// It accepts requests but does not respond.
+    /// Connections to the worker time out, or it accepts requests but does not respond.
     Unresponsive,
 }
 
-/// A worker and its present condition.
+/// A worker and its current condition.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub(super) address: String,
@@ -40,7 +40,7 @@
     pub(super) state: EndpointState,
     pub(super) condition: Condition,
     pub(super) started: Option<u64>,
-    /// Functions of which it has a replica, with the time at which that is loaded.
+    /// The functions of which the worker has a replica, with the time in nanoseconds at which the replica is loaded.
     pub(super) replicas: BTreeMap<u64, u64>,
     pub(super) in_flight: u32,
     cell: u64,
@@ -113,7 +113,7 @@
         )
     }
 
-    /// A load report, as the protocol writes it.
+    /// A load report in the format of the protocol.
     pub(super) fn report(&self, random: &mut Random) -> String {
         let busy = random
             .between(0, 100)
@@ -126,7 +126,7 @@
         )
     }
 
-    /// Loads a replica of a function, unless there is one; returns the time at which it is loaded.
+    /// Loads a replica of a function unless there is one already; returns the time at which the replica is loaded.
     pub(super) fn load(&mut self, random: &mut Random, now: u64, function: u64) -> u64 {
         if let Some(ready) = self.replicas.get(&function) {
             return *ready;
@@ -140,7 +140,7 @@
         ready
     }
 
-    /// How an attempt fails at a worker that cannot serve any; `None`: it does not.
+    /// How an attempt fails because of the condition of the worker; `None` if it does not fail for this reason.
     fn fail(
         &self,
         random: &mut Random,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// How an attempt at a function ends at this worker, apart from time-outs.
+    /// How an attempt to run a function ends at this worker, apart from timeouts set by the front end.
     pub(super) fn attempt(
         &mut self,
         random: &mut Random,
--- a/crates/pipithub-characterization/src/adapter_scenario/world.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/world.rs
@@ -1,4 +1,5 @@
-//! The world of a scenario: events that are due become lines of a batch, the actions of the reply become further events.
+//! The simulation of a scenario: events that are due become lines of a batch, and the actions of the reply schedule further
+//! events.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +12,11 @@
 use crate::recording::Transcript;
 use crate::schedule::Schedule;
 
-/// The most workers of a scenario.
+/// The maximum number of workers of a scenario.
 pub(super) const MAX_WORKERS: usize = 700;
-/// The largest tier of which a front end considers every worker.
+/// The maximum number of workers up to which a front end considers all of them.
 const MAX_CONSIDERED: usize = 512;
-/// A program with more actions than this in a scenario does not terminate.
+/// A program that takes more actions than this in a scenario is assumed never to stop acting.
 const MAX_ACTIONS: u64 = 400_000;
 
 /// The program under test.
@@ -27,16 +28,16 @@
 /// What the scenario knows of a front end.
 #[derive(Debug, Default)]
 pub(super) struct FrontEndModel {
-    /// Counts the starts of the front end.
+    /// The number of starts of the front end so far.
     pub(super) incarnation: u64,
     pub(super) requests: BTreeMap<u64, Request>,
-    /// Whether it receives changes of the endpoint list.
+    /// Whether the front end receives changes of the endpoint list.
     pub(super) subscribed: bool,
-    /// The number of its last update of the endpoint list.
+    /// The number of the last endpoint list update sent to the front end.
     pub(super) revision: u64,
 }
 
-/// A time in which attempts fail at every worker.
+/// A period in which some attempts fail at every worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ErrorBurst {
     /// How many of a thousand attempts fail.
@@ -44,13 +45,13 @@
     pub(super) until: u64,
 }
 
-/// How long a scenario is and how densely requests arrive.
+/// The duration of a scenario and the mean time between two requests, in nanoseconds.
 struct Timing {
     duration: u64,
     mean_arrival_gap: u64,
 }
 
-/// The state of a scenario.
+/// The state of a running scenario. Times are in nanoseconds.
 pub(super) struct World<'a> {
     pub(super) random: Random,
     pub(super) schedule: Schedule<Event>,
@@ -180,7 +181,7 @@
         self.lines.push(line);
     }
 
-    /// Schedules an event for the present incarnation of a front end.
+    /// Schedules an event for the current incarnation of a front end.
     pub(super) fn schedule_for(&mut self, front_end: usize, at: u64, event: FrontEndEvent) {
         let incarnation = self.front_ends[front_end].incarnation;
         let event = Event::FrontEnd {
@@ -251,7 +252,7 @@
 }
 
 impl Timing {
-    /// A few scenarios are long, with less in each second.
+    /// Draws a timing: a few scenarios are long, with fewer requests per second.
     fn draw(random: &mut Random) -> Self {
         if random.per_mille(120) {
             Timing {
--- a/crates/pipithub-characterization/src/lib.rs
+++ b/crates/pipithub-characterization/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! A *scenario* is a seeded, scripted environment that reacts to what the program under test does. All inputs and outputs
 //! are written to a [`recording::Transcript`], whose digest is compared with the one stored in the repository. This
-//! library works with bytes and uses no type of the other crates: each test has a small driver for the program under test.
+//! library works with bytes and text and uses no type of the other crates: each test has a small driver that connects it with
+//! the program under test.
 //!
 //! - [`adapter_scenario`] uses the line protocol of `pipithub-adapter`; its test belongs to that crate.
 //! - [`node_scenario`] simulates clients, workers and endpoint lists for the node without sockets; its test belongs to this
--- a/crates/pipithub-characterization/src/node_scenario.rs
+++ b/crates/pipithub-characterization/src/node_scenario.rs
@@ -1,4 +1,4 @@
-//! A scripted scenario for a node without sockets: inputs are bytes, endpoint lists and time; outputs are effects.
+//! A scripted scenario for a node without sockets: its inputs are bytes, endpoint lists and time, its outputs are effects.
 //!
 //! Clients call, retry, cancel, disconnect, send invalid data or nothing. Workers send every kind of response, late, twice,
 //! in pieces or not at all. Connections fail, break and block, and the endpoint list changes. At the end the node is shut
@@ -26,7 +26,7 @@
         /// The number of the connection.
         connection: u64,
     },
-    /// Deliver what a client has sent so far, then report that the connection may be retired.
+    /// Deliver all bytes that a client has sent so far, then report this with [`Node::client_retired`].
     Retire {
         /// The number of the connection.
         connection: u64,
@@ -35,9 +35,9 @@
     CancelWrite {
         /// The number of the connection.
         connection: u64,
-        /// The offset of the first one in all bytes written to the connection.
+        /// The offset of the first discarded byte among all bytes written to the connection.
         at: u64,
-        /// The number of bytes.
+        /// The number of discarded bytes.
         length: u64,
     },
     /// Connect to a worker.
@@ -87,11 +87,11 @@
     }
 }
 
-/// The program under test; all times in nanoseconds.
+/// The program under test. All times are in nanoseconds.
 pub trait Node {
     /// When [`Node::tick`] is due next.
     fn next_due(&self) -> u64;
-    /// Reports that time has passed.
+    /// Reports that the time is now `now`.
     fn tick(&mut self, now: u64);
     /// Reports that a client has connected; returns the number of its connection.
     fn client_connected(&mut self, now: u64) -> u64;
@@ -99,16 +99,17 @@
     fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
     /// Reports that a client's connection has ended.
     fn client_closed(&mut self, now: u64, connection: u64);
-    /// Reports that everything a client had sent has been delivered.
+    /// Reports that all bytes a client had sent have been delivered, after [`Effect::Retire`].
     fn client_retired(&mut self, now: u64, connection: u64);
     /// Reports that a connection to a worker is established.
     fn worker_connected(&mut self, now: u64, connection: u64);
-    /// Reports that a connection to a worker failed; `local_cause` if a resource of this machine was exhausted.
+    /// Reports that a connection to a worker failed; `local_cause` is true if a resource of the local
+    /// machine was exhausted.
     fn worker_failed(&mut self, now: u64, connection: u64, local_cause: bool);
-    /// Reports that a worker does not read, with the number of bytes that the system has accepted; `None` if it reads
-    /// again.
+    /// Reports that a worker does not read, with the number of bytes that the operating system has accepted so far; `None`
+    /// reports that the worker reads again.
     fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>);
-    /// Reports that a connection to a worker has ended, with the number of bytes that the system has accepted.
+    /// Reports that a connection to a worker has ended, with the number of bytes that the operating system has accepted.
     fn worker_closed(&mut self, now: u64, connection: u64, written: u64);
     /// Reports bytes from a worker.
     fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -3,15 +3,15 @@
 use super::world::{Event, World};
 use super::{MILLISECOND, Node};
 
-/// The maximum number of calls of a burst, which is more than a connection may have pending.
+/// The maximum number of calls in a burst. It exceeds the number of calls that a connection may have pending.
 const MAX_BURST: u64 = 45;
-/// The length of a line that is too long.
+/// The length, in bytes, of a line that is too long for the node.
 const LONG_LINE: usize = 40_000;
 
 /// A call without a response.
 #[derive(Debug)]
 pub(super) struct PendingCall {
-    /// The id of its JSON-RPC request, which is the client's own count.
+    /// The id of the JSON-RPC request, which the client counts up.
     pub(super) id: u64,
     /// The name of the call, by which it can be retried on any connection.
     pub(super) name: String,
@@ -26,7 +26,7 @@
 }
 
 impl<N: Node> World<'_, N> {
-    /// One client acts; the next action follows after a drawn time.
+    /// Performs an action of one client and schedules the next action after a drawn time.
     pub(super) fn client_acts(&mut self) {
         let gap = self.random.between(1, 2 * self.mean_client_gap);
         self.schedule.add(self.now + gap, Event::ClientActs);
@@ -75,7 +75,7 @@
         self.node.client_closed(self.now, connection);
     }
 
-    /// No client sends for a while, so that the node sees idle connections.
+    /// Stops all clients from sending for a while, so that connections of the node become idle.
     fn pause_clients(&mut self) {
         self.clients_silent_until = self.now + self.random.between(500, 2_600) * MILLISECOND;
     }
@@ -97,7 +97,7 @@
         client.next_id - 1
     }
 
-    /// The line of a new call, which is pending from here on.
+    /// The line of a new call, which is added to the pending calls of the client.
     fn call_line(&mut self, connection: u64) -> String {
         let id = self.fresh_id(connection);
         let name = format!("{:016x}", self.random.number());
@@ -169,7 +169,7 @@
         );
     }
 
-    /// Sends the name of an earlier call again, whichever connection that was on.
+    /// Sends a call with the name of an earlier one, which may have been sent on another connection.
     fn retry(&mut self, connection: u64) {
         let pending: Vec<String> = self
             .clients
--- a/crates/pipithub-characterization/src/node_scenario/configuration.rs
+++ b/crates/pipithub-characterization/src/node_scenario/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a scenario's node, and the events of its worker list.
+//! The configuration of the node in a scenario, and the events of its endpoint list.
 
 use std::fmt::Write;
 
@@ -13,12 +13,12 @@
 pub(super) struct Class {
     pub(super) name: String,
     pub(super) has_idempotency_key: bool,
-    /// The longest that a client waits, in milliseconds.
+    /// The maximum time that a client waits, in milliseconds.
     pub(super) time_to_live: u64,
     idempotency: &'static str,
 }
 
-/// The configuration of the node. Fields that only its text needs are private.
+/// The configuration of the node. Fields that are used only in its text are private.
 #[derive(Debug)]
 pub(super) struct Configuration {
     pub(super) classes: Vec<Class>,
@@ -36,7 +36,7 @@
     streams_per_connection: u64,
 }
 
-/// A worker as the endpoint list has it.
+/// A worker as described in the endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct ListedWorker {
     pub(super) id: String,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The text with the events that are known at the start. It is formatted by hand, so that no library can change the
-    /// order of its keys.
+    /// The text of the configuration, with the endpoint list events that are known at the start. It is formatted by
+    /// hand, so that no library can change the order of its keys.
     pub(super) fn text(&self, known: &[String]) -> String {
         let classes: Vec<String> = self.classes.iter().map(Class::text).collect();
         let mut text = String::new();
--- a/crates/pipithub-characterization/src/node_scenario/workers.rs
+++ b/crates/pipithub-characterization/src/node_scenario/workers.rs
@@ -1,11 +1,11 @@
-//! What workers do with their connections and with what they are asked.
+//! How workers treat their connections and the commands that they receive.
 
 use serde_json::Value;
 
 use super::world::{Event, World};
 use super::{MILLISECOND, Node, SECOND};
 
-/// Calls that a worker runs before it rejects others.
+/// The maximum number of calls that a worker runs on one connection; it rejects further ones.
 const CAPACITY: u32 = 10;
 
 /// A connection to a worker.
@@ -13,16 +13,16 @@
 pub(super) struct WorkerConnection {
     pub(super) address: String,
     connected: bool,
-    /// The number of bytes that the system has accepted.
+    /// The number of bytes that the operating system has accepted.
     written: u64,
-    /// Bytes that the system has not accepted yet.
+    /// Bytes that the operating system has not accepted yet.
     unsent: Vec<u8>,
     blocked: bool,
-    /// Bytes that have reached the worker and are not a complete line yet.
+    /// Bytes that have reached the worker but do not form a complete line yet.
     partial: Vec<u8>,
-    /// Names of calls that the worker runs here.
+    /// The names of the calls from this connection that the worker is running.
     running: Vec<String>,
-    /// When bytes were written on it last.
+    /// When the node last wrote to the connection; `None` if it has not written yet.
     written_at: Option<u64>,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The worker's side ends a connection.
+    /// Ends a connection from the worker's side.
     pub(super) fn connection_breaks(&mut self, connection: u64) {
         if let Some(link) = self.worker_connections.remove(&connection) {
             let kind = if link.unsent.is_empty() {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// The node writes; the system accepts all of it, some of it, or none while the worker does not read.
+    /// Writes bytes of the node to a connection. The operating system accepts all of them, or only some or none while the worker
+    /// does not read.
     pub(super) fn write_to_worker(&mut self, connection: u64, bytes: &[u8]) {
         let Some(link) = self.worker_connections.get_mut(&connection) else {
             return;
@@ -184,18 +185,19 @@
         self.node.worker_blocked(self.now, connection, None);
     }
 
-    /// The node discards bytes that the system has not accepted.
+    /// Discards bytes of the node that the operating system has not accepted.
     pub(super) fn cancel_write(&mut self, connection: u64, at: u64, length: u64) {
         let Some(link) = self.worker_connections.get_mut(&connection) else {
             return;
         };
         let from = at
             .checked_sub(link.written)
-            .expect("bytes that the system has are not taken back") as usize;
+            .expect("only bytes that the operating system has not accepted are discarded")
+            as usize;
         link.unsent.drain(from..from + length as usize);
     }
 
-    /// The system accepts a number of the unsent bytes, and the worker reads them.
+    /// Lets the operating system accept a number of the unsent bytes, which the worker then reads.
     fn accept_bytes(&mut self, connection: u64, count: usize) {
         let Some(link) = self.worker_connections.get_mut(&connection) else {
             return;
@@ -308,14 +310,14 @@
         if let Some(index) = link.running.iter().position(|name| name == reference) {
             link.running.remove(index);
         } else if !is_poll_or_load_command {
-            // The node has cancelled it meanwhile.
+            // The node has cancelled the call in the meantime.
             return;
         }
         let line = self.response_line(response, reference, in_flight);
         match self.random.between(0, 199) {
             0 => {
                 self.worker_sends("worker noise", connection, b"noise\n");
-                // The node closes it, or has closed it.
+                // The node then closes the connection, if it has not closed it already.
             }
             1 => {
                 let stranger = self.response_line("ACK", "ffffffffffffffff", in_flight);
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -1,4 +1,4 @@
-//! The world of a scenario: events that are due become inputs of the node, and its effects become further events.
+//! The simulation of a scenario: events that are due become inputs of the node, and its effects schedule further events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,16 +10,17 @@
 use crate::recording::Transcript;
 use crate::schedule::Schedule;
 
-/// The number of names of ended calls that clients may retry.
+/// The maximum number of ended calls whose names are kept for retries by clients.
 const MAX_ENDED_CALLS: usize = 32;
-/// A node with more effects than this in a scenario does not terminate.
+/// A node that has more effects than this in a scenario is assumed never to stop acting.
 const MAX_EFFECTS: u64 = 200_000;
-/// No node needs longer than this to shut down.
+/// The scenario ends this long after the shutdown begins, even if the node has not stopped.
 const MAX_STOP_TIME: u64 = 10 * SECOND;
-/// Calls are still accepted for a while after the shutdown begins: workers stop responding shortly before that ends.
+/// How long workers go on responding after the shutdown begins, in scenarios in which they stop. The node still accepts calls
+/// for a while during the shutdown; workers stop responding shortly before that period ends.
 const WORKERS_RESPOND_AFTER_STOP: u64 = 600 * MILLISECOND;
 
-/// Times after which idle connections break when they are used again; in most scenarios they never do.
+/// Idle times, in nanoseconds, after which a connection breaks when it is used again; in most scenarios this never happens.
 const IDLE_BREAK_TIMES: [u64; 5] = [
     100 * MILLISECOND,
     700 * MILLISECOND,
@@ -68,13 +69,13 @@
     pub(super) properties: String,
 }
 
-/// How long a scenario is and how densely clients act.
+/// The duration of a scenario and the mean time between two actions of clients, in nanoseconds.
 struct Timing {
     duration: u64,
     mean_client_gap: u64,
 }
 
-/// The state of a scenario.
+/// The state of a running scenario. Times are in nanoseconds.
 pub(super) struct World<'a, N> {
     pub(super) random: Random,
     pub(super) schedule: Schedule<Event>,
@@ -92,7 +93,7 @@
     /// The mean time between two actions of clients.
     pub(super) mean_client_gap: u64,
     pub(super) transcript: &'a mut Transcript,
-    /// Connections that were idle for this long break when they are used again.
+    /// A connection that was idle for this long breaks when it is used again.
     pub(super) idle_break_after: u64,
     duration: u64,
     listed_workers: Vec<ListedWorker>,
@@ -165,7 +166,7 @@
         world
     }
 
-    /// Lets time pass until then, or until the condition holds.
+    /// Lets time pass until `until`, or until the condition holds.
     fn run_until(&mut self, until: u64, is_finished: impl Fn(&Self) -> bool) {
         while self.now < until && !is_finished(self) {
             let scheduled = self.schedule.next_due().unwrap_or(u64::MAX);
@@ -311,7 +312,7 @@
             4 => self.add_worker(),
             5 => self.publish_all(),
             6 => {
-                // The versions of a new configuration count from the beginning.
+                // The versions of a new configuration start again from 1.
                 self.list_version = 0;
                 self.publish_all();
             }
@@ -354,7 +355,7 @@
         self.publish_change(number as usize);
     }
 
-    /// No worker responds any more.
+    /// Makes all workers stop responding.
     fn make_all_unresponsive(&mut self) {
         self.unresponsive_addresses.extend(
             self.listed_workers
@@ -363,7 +364,7 @@
         );
     }
 
-    /// A worker moves to another address.
+    /// Moves a worker to another address.
     fn change_address(&mut self, worker: usize) {
         let number = self.random.between(0, 60_000);
         self.listed_workers[worker].address =
@@ -394,7 +395,7 @@
     }
 }
 
-/// The kind that a response to a client is counted under.
+/// The kind under which a response to a client is counted.
 fn response_kind(text: &str) -> &'static str {
     if text.contains("\"body\"") {
         "served"
@@ -435,7 +436,7 @@
 }
 
 impl Timing {
-    /// A few scenarios are long, with less in each second.
+    /// Draws a timing: a few scenarios are long, with fewer client actions per second.
     fn draw(random: &mut Random) -> Self {
         if random.per_mille(120) {
             Timing {
--- a/crates/pipithub-characterization/src/random.rs
+++ b/crates/pipithub-characterization/src/random.rs
@@ -7,7 +7,7 @@
 }
 
 impl Random {
-    /// A generator that starts from a seed.
+    /// Creates a generator that starts from a seed.
     pub fn new(seed: u64) -> Self {
         Random { state: seed }
     }
@@ -26,7 +26,7 @@
         low + self.number() % (high - low + 1)
     }
 
-    /// True with a probability in thousandths.
+    /// Returns true in `cases` of 1,000 draws on average.
     pub fn per_mille(&mut self, cases: u64) -> bool {
         self.number() % 1_000 < cases
     }
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -7,12 +7,12 @@
 
 use sha2::{Digest, Sha256};
 
-/// Set to `1`, it makes the tests write the recorded files instead of comparing with them.
+/// The environment variable that, if set to `1`, makes the tests write the recorded files instead of comparing with them.
 pub const RECORD_VARIABLE: &str = "RECORD_BEHAVIOR";
-/// Names a folder into which the complete transcripts of scenarios that differ are written.
+/// The environment variable that names a folder for the complete transcripts of scenarios that differ.
 pub const TRANSCRIPT_VARIABLE: &str = "BEHAVIOR_TRANSCRIPTS";
 
-/// All inputs and outputs of one scenario, and how often each kind of them occurred.
+/// All inputs and outputs of one scenario, and how often each kind of event occurred.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     text: String,
@@ -65,14 +65,15 @@
     recording
 }
 
-/// Prints a line past the test harness, which hides the output of tests that pass.
+/// Prints a line directly to standard error, because the test harness hides captured output of tests that pass.
 fn announce(text: &str) {
     let mut standard_error = std::io::stderr().lock();
     // Writing fails only if standard error is closed, and then the line is not needed.
     let _ = writeln!(standard_error, "{text}");
 }
 
-/// Runs the scenario of each seed below `seeds` on the given number of threads.
+/// Runs the scenarios of all seeds below `seeds` on the given number of threads; returns their transcripts in the order of
+/// the seeds.
 ///
 /// # Panics
 /// Panics with the seed of a scenario that panicked.
@@ -103,10 +104,11 @@
     transcripts.into_values().collect()
 }
 
-/// Compares the digests of all scenarios with the recorded ones, or records them. The index of a scenario is its seed.
+/// Compares the digests of all scenarios with the recorded ones, or records them. The index of a scenario in the slice is its
+/// seed.
 ///
 /// # Panics
-/// Panics if a digest differs from the recorded one, with its seed, or if one of `kinds` never occurred.
+/// Panics with the seeds of scenarios whose digests differ from the recorded ones, or if one of `kinds` never occurred.
 pub fn check_scenarios(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
     let digests: String =
         scenarios
@@ -163,7 +165,7 @@
     );
 }
 
-/// Records a file that differs from run to run, unless it has been recorded.
+/// Records a file whose contents differ from run to run, unless a recording exists already.
 pub fn record_once(path: &Path, written: &[u8]) {
     if recording() && !path.exists() {
         record(path, written);
--- a/crates/pipithub-characterization/src/schedule.rs
+++ b/crates/pipithub-characterization/src/schedule.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     due: u64,
-    /// Counts insertions, so that events due at the same time keep their order.
+    /// The number of the insertion, so that events due at the same time keep the order of their insertion.
     sequence: u64,
 }
 
-/// Events by the time in nanoseconds at which they are due.
+/// Events, ordered by the time in nanoseconds at which they are due.
 #[derive(Debug)]
 pub struct Schedule<T> {
     events: BTreeMap<EventKey, T>,
@@ -34,12 +34,12 @@
         self.events.insert(EventKey { due, sequence }, event);
     }
 
-    /// When the first event is due; `None` without events.
+    /// When the first event is due; `None` if there are no events.
     pub fn next_due(&self) -> Option<u64> {
         self.events.keys().next().map(|key| key.due)
     }
 
-    /// Takes the first event that is due by `now`.
+    /// Removes and returns the first event if it is due by `now`.
     pub fn take_due(&mut self, now: u64) -> Option<T> {
         let entry = self
             .events
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -1,4 +1,5 @@
-//! The one place that knows the types behind the files; its own interface is text and bytes.
+//! Connects the file tests with the types that read and write the files. Only this module uses those types; its interface
+//! consists of text and bytes.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -29,13 +30,13 @@
     .encode()
 }
 
-/// Cluster, name and generation of a record's text.
+/// Parses the text of a generation record into the cluster, the name and the generation.
 pub(crate) fn read_generation(text: &str) -> Result<(String, String, u64), String> {
     let record = GenerationRecord::decode(text).map_err(|error| error.to_string())?;
     Ok((record.cluster, record.name, record.generation))
 }
 
-/// The record's text that the next start writes, and whether it found an empty folder.
+/// The text of the record that the next start writes, and whether that start found an empty folder.
 pub(crate) fn next_generation(
     found: Option<&str>,
     cluster: &str,
@@ -45,7 +46,7 @@
     Ok((next.record.encode(), next.disk == DiskState::Empty))
 }
 
-/// Writes the record of a data folder.
+/// Writes the generation record of a data folder.
 pub(crate) fn save_generation(folder: &Path, text: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -62,7 +63,7 @@
     });
 }
 
-/// The record of a data folder as a start finds it.
+/// Reads the generation record of a data folder as a starting front end does; `None` if there is none.
 pub(crate) fn load_generation(folder: &Path) -> Option<String> {
     DataFolder::lock(folder)
         .expect("the folder is free")
@@ -106,14 +107,14 @@
         ],
         happenings: [event("front-2", "there"), event("front-1", "stands joined")].into(),
     };
-    let text = serde_json::to_vec(&report).expect("the report is text");
+    let text = serde_json::to_vec(&report).expect("the report can be serialized");
     DataFolder::save_report(folder, &text).expect("the report is written");
 }
 
-/// The report of a data folder, a line each for the head, the members and what happened.
+/// Reads the report of a data folder; returns a line for the header and for each member and event.
 pub(crate) fn load_report(folder: &Path) -> Vec<String> {
     let text = DataFolder::read_report(folder).expect("the report is read");
-    let report: Report = serde_json::from_slice(&text).expect("the report is understood");
+    let report: Report = serde_json::from_slice(&text).expect("the report can be parsed");
     let member = |m: &MemberReport| {
         format!(
             "{} {} {} {} for {} heard {:?} generation {} disk {}",
@@ -135,9 +136,9 @@
         .collect()
 }
 
-// ---- remembered worker list ----
+// ---- cached endpoint list ----
 
-/// The text that is kept after a list and then a watch event.
+/// The text of the cached list after an endpoint list and then a watch event.
 pub(crate) fn cached_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
     let mut watcher = Watcher::new(None);
     watcher
@@ -153,7 +154,7 @@
     watcher.to_cached_list(now, wall_ms)
 }
 
-/// The workers of a remembered list, a line each.
+/// The workers of a cached endpoint list, with a line for each.
 pub(crate) fn read_cached_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
     let cached = pipithub_endpoints::read_cached_list(text, now, wall_ms)
         .map_err(|error| error.to_string())?;
@@ -179,17 +180,18 @@
 
 // ---- directory snapshot ----
 
-/// A fact of a snapshot: user, tenant, person, mark, and when it was confirmed in milliseconds on the caller's clock.
+/// A record of a snapshot: user, tenant, person, change number, and when the record was confirmed, in milliseconds on the
+/// caller's clock.
 pub(crate) type SnapshotRecord = (String, u16, u64, u64, i64);
 
-/// What a snapshot is written for.
+/// The fingerprint of the directories and tenants that a snapshot is written for.
 pub(crate) fn snapshot_fingerprint(parts: &[&str]) -> [u8; 32] {
     snapshot::fingerprint(parts.iter().copied())
 }
 
-/// A snapshot of these facts.
+/// Writes a snapshot of these records and returns its bytes.
 pub(crate) fn write_snapshot(
-    facts: &[SnapshotRecord],
+    snapshot_records: &[SnapshotRecord],
     now: u64,
     wall_ms: i64,
     fingerprint: [u8; 32],
@@ -215,28 +217,29 @@
         seed: 3,
         wall_clock_offset_ms: 0,
     });
-    let records = facts
-        .iter()
-        .map(|(user, tenant, person, change_number, confirmed)| {
-            let record = LookupRecord {
-                directory: 0,
-                result: LookupResult::Tenant(TenantId(*tenant)),
-                person: PersonId(*person),
-                confirmed_at_ms: *confirmed,
-                change_number: *change_number,
-                refresh_jitter: 0,
-                last_wanted_day: 0,
-            };
-            StoredRecord {
-                user: user.as_str().into(),
-                record,
-            }
-        });
+    let records =
+        snapshot_records
+            .iter()
+            .map(|(user, tenant, person, change_number, confirmed)| {
+                let record = LookupRecord {
+                    directory: 0,
+                    result: LookupResult::Tenant(TenantId(*tenant)),
+                    person: PersonId(*person),
+                    confirmed_at_ms: *confirmed,
+                    change_number: *change_number,
+                    refresh_jitter: 0,
+                    last_wanted_day: 0,
+                };
+                StoredRecord {
+                    user: user.as_str().into(),
+                    record,
+                }
+            });
     directory.restore(now, records.collect());
     snapshot::write(directory.roster(), now, wall_ms, fingerprint, key)
 }
 
-/// The facts of a snapshot, by user.
+/// Reads the records of a snapshot, ordered by user.
 pub(crate) fn read_snapshot(
     bytes: &[u8],
     now: u64,
@@ -245,10 +248,10 @@
     key: &[u8],
 ) -> Result<Vec<SnapshotRecord>, String> {
     let max_stale = |directory: u16| (directory == 0).then_some(12 * HOUR);
-    let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, max_stale);
-    let fact = |StoredRecord { user, record }: &StoredRecord| {
+    let snapshot_records = snapshot::read(bytes, now, wall_ms, fingerprint, key, max_stale);
+    let snapshot_record = |StoredRecord { user, record }: &StoredRecord| {
         let LookupResult::Tenant(tenant) = record.result else {
-            panic!("a fact without a tenant")
+            panic!("a record without a tenant")
         };
         (
             user.to_string(),
@@ -258,11 +261,11 @@
             record.confirmed_at_ms,
         )
     };
-    let mut facts: Vec<SnapshotRecord> = facts
+    let mut snapshot_records: Vec<SnapshotRecord> = snapshot_records
         .map_err(|error| error.to_string())?
         .iter()
-        .map(fact)
+        .map(snapshot_record)
         .collect();
-    facts.sort();
-    Ok(facts)
+    snapshot_records.sort();
+    Ok(snapshot_records)
 }
--- a/crates/pipithub-characterization/tests/files.rs
+++ b/crates/pipithub-characterization/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files of earlier versions are read with the same contents and written with the same bytes.
+//! Checks that files of earlier versions are read with the same contents and written with the same bytes as before.
 
 mod file_driver;
 
@@ -53,7 +53,7 @@
     );
     assert!(
         file_driver::next_generation(Some(&text), "campus", "front-2").is_err(),
-        "the record of another front end"
+        "the record belongs to another front end"
     );
     for index in 0..text.len() {
         let changed = with_flipped_bit(text.as_bytes(), index);
@@ -90,7 +90,7 @@
     assert_eq!(lines, expected);
 }
 
-/// A list of one slice; [`CHANGE`] adds a second one by the watch.
+/// An endpoint list with one slice; the watch event [`CHANGE`] adds a second slice.
 const LIST: &str = r#"{"kind":"EndpointSliceList","metadata":{"resourceVersion":"5"},"items":[
     {"metadata":{"name":"one","resourceVersion":"4","annotations":{
         "pipithub.dev/memory-mb":"{\"a\":8000,\"b\":16000}",
@@ -118,7 +118,7 @@
         "10.0.0.2:80 draining west 16000 None",
         "10.0.0.3:81 live  0 Some(30000000000)",
     ];
-    assert_eq!(lines.expect("the list is understood"), expected);
+    assert_eq!(lines.expect("the list can be read"), expected);
     assert!(
         file_driver::read_cached_list(&text[..text.len() / 2], 0, WALL_MS).is_err(),
         "cut off"
@@ -129,7 +129,7 @@
     (user.to_string(), tenant, person, 3, confirmed_ms)
 }
 
-/// There is only one user, since the order of several differs between processes.
+/// The snapshot has only one user, because the order of several users differs between processes.
 #[test]
 fn directory_snapshot_is_written_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
@@ -154,7 +154,7 @@
     let read = |wall_ms: i64, fingerprint, key: &[u8]| {
         file_driver::read_snapshot(&bytes, 5 * SECOND, wall_ms, fingerprint, key)
     };
-    // Read at once, on a clock that is 4 s ahead: the records have the same age as before.
+    // Read at once by a process whose clock is 4 s ahead: the records have the same age as before.
     let at_once = records
         .clone()
         .map(|(user, tenant, person, mark, confirmed)| {
@@ -162,7 +162,8 @@
         });
     assert_eq!(read(WALL_MS as i64, fingerprint, KEY), Ok(at_once.to_vec()));
     // Two hours later one record has expired.
-    let later = read(WALL_MS as i64 + 2 * 3_600_000, fingerprint, KEY).expect("understood");
+    let later =
+        read(WALL_MS as i64 + 2 * 3_600_000, fingerprint, KEY).expect("the snapshot can be read");
     assert_eq!(
         later
             .iter()
@@ -172,11 +173,11 @@
     );
     assert!(
         read(WALL_MS as i64, [2; 32], KEY).is_err(),
-        "of another directory"
+        "the snapshot belongs to another directory"
     );
     assert!(
         read(WALL_MS as i64, fingerprint, b"another key......").is_err(),
-        "under another key"
+        "the snapshot was written with another key"
     );
     let changed = with_flipped_bit(&bytes, bytes.len() / 2);
     let read = file_driver::read_snapshot(&changed, 0, WALL_MS as i64, fingerprint, KEY);
--- a/crates/pipithub-characterization/tests/node.rs
+++ b/crates/pipithub-characterization/tests/node.rs
@@ -1,4 +1,4 @@
-//! The effects of the node in seeded scenarios, compared with the recorded ones.
+//! Compares the effects of the node in seeded scenarios with the recorded ones.
 
 mod node_driver;
 
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -6,7 +6,7 @@
 use pipithub_platform::config::NodeConfig;
 use pipithub_platform::list;
 
-/// The node's core, with the configuration that its endpoint lists are parsed by.
+/// The node's core, with the configuration that is needed to parse its endpoint list events.
 pub(crate) struct Driver {
     core: Core,
     config: NodeConfig,
