--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -11,7 +11,7 @@
 /// A call without a response.
 #[derive(Debug)]
 pub(super) struct PendingCall {
-    /// The id of the JSON-RPC request, which the client counts up.
+    /// The id of the JSON-RPC request. Each client numbers its requests in ascending order.
     pub(super) id: u64,
     /// The name of the call, by which it can be retried on any connection.
     pub(super) name: String,
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -12,7 +12,7 @@
 /// The environment variable that names a folder for the complete transcripts of scenarios that differ.
 pub const TRANSCRIPT_VARIABLE: &str = "BEHAVIOR_TRANSCRIPTS";
 
-/// All inputs and outputs of one scenario, and how often each kind of event occurred.
+/// All inputs and outputs of one scenario, and how often each kind of event or effect occurred.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     text: String,
