--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -1,4 +1,4 @@
-//! What the actions of a front end bring about.
+//! The effects of the actions of a front end.
 
 use super::MILLISECOND;
 use super::event::FrontEndEvent;
@@ -10,7 +10,7 @@
     /// Performs the action of one line of a reply.
     pub(super) fn perform(&mut self, line: &str) {
         let parts: Vec<&str> = line.split(' ').collect();
-        let number = |place: usize| parts[place].parse::<u64>().expect("a number in an action");
+        let number = |index: usize| parts[index].parse::<u64>().expect("a number in an action");
         let front_end = number(1) as usize;
         self.transcript
             .count(&format!("out {}", action_kind(&parts)));
@@ -84,10 +84,11 @@
             sent: now,
             ended: false,
         });
-        let is_moot = request.settled || request.streaming || attempt >= self.settings.max_attempts;
+        let is_obsolete =
+            request.settled || request.streaming || attempt >= self.settings.max_attempts;
         let (function, is_streamed, deadline) =
             (request.function, request.stream, request.deadline);
-        let mut result = if is_moot {
+        let mut result = if is_obsolete {
             AttemptResult::new("N", self.settings.granularity, 0)
         } else {
             self.draw_result(worker, function)
@@ -119,7 +120,7 @@
         self.schedule_for(front_end, now + result.after, ended);
     }
 
-    /// How an attempt ends that reaches its worker.
+    /// Draws how an attempt that reaches its worker ends.
     fn draw_result(&mut self, worker: usize, function: u64) -> AttemptResult {
         let errors = self.errors_on_all_workers;
         if self.now < errors.until && self.random.per_mille(errors.per_mille) {
@@ -162,7 +163,7 @@
     }
 }
 
-/// The kind that an action is counted under.
+/// The kind under which an action is counted.
 fn action_kind<'a>(parts: &[&'a str]) -> &'a str {
     match parts[0] {
         "reject" if parts[3] == "-" => "reject without a time",
--- a/crates/pipithub/src/outage.rs
+++ b/crates/pipithub/src/outage.rs
@@ -1,4 +1,4 @@
-//! `pipithub outage`: plays seeded outages of discovery against front ends on loopback, and checks the rules.
+//! `pipithub outage`: runs seeded discovery outages against front ends on loopback, and checks the rules.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,8 +11,9 @@
 use crate::logging;
 use crate::scenario::RunFolder;
 
-/// The least share served, as a part of that of the same seed without the outage.
+/// The lowest accepted share of served calls, relative to the share that the same seed serves without the outage.
 const MIN_RELATIVE_SERVED_RATIO: f64 = 0.9;
+/// The rules, in the order of their columns in the table.
 const RULES: [Rule; 5] = [
     Rule::FinalAnswer,
     Rule::EffectOnce,
@@ -20,28 +21,28 @@
     Rule::DrainedLoadCommand,
     Rule::SlowStart,
 ];
-/// Violations that are printed in full for each seed.
-const MAX_SHOWN: usize = 3;
+/// The maximum number of violations that are printed for each seed.
+const MAX_VIOLATIONS_SHOWN: usize = 3;
 
 /// Arguments of `pipithub outage`.
 #[derive(Args)]
 pub(crate) struct OutageArguments {
-    /// The seed of the first run; each further run has the next one.
+    /// The seed of the first run; each further run uses the next higher seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// How many seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Shorter runs with fewer front ends.
+    /// Do shorter runs with fewer front ends.
     #[arg(long)]
     short: bool,
-    /// Play each seed without its outage as well, and compare the shares served.
+    /// Run each seed without its outage as well, and compare the shares of served calls.
     #[arg(long)]
     compare: bool,
-    /// What is added to each limit of time, in milliseconds; the platform adds 50.
+    /// The tolerance added to each time limit, in milliseconds; the platform adds 50.
     #[arg(long, default_value_t = 50)]
     slack_ms: u64,
-    /// The front end's program; by default this one.
+    /// The program of the front ends; by default this program.
     #[arg(long)]
     binary: Option<PathBuf>,
     /// The folder for configurations and logs; by default a temporary one, which is removed if all rules held.
@@ -49,17 +50,17 @@
     folder: Option<PathBuf>,
 }
 
-/// Plays the seeds; exits with a failure if a rule was broken or too little was served.
+/// Runs all seeds; exits with a failure if a rule was violated or too few calls were served.
 ///
-/// Fails if a run could not be played to its end.
+/// Fails if a run could not be completed.
 pub(crate) async fn play(arguments: OutageArguments) -> Result<ExitCode> {
-    // Each run blocks its thread: it has a runtime of its own.
-    tokio::task::spawn_blocking(move || play_seeds(&arguments))
+    // Each run blocks its thread, because it creates and blocks on its own runtime.
+    tokio::task::spawn_blocking(move || run_seeds(&arguments))
         .await
         .into_diagnostic()?
 }
 
-fn play_seeds(arguments: &OutageArguments) -> Result<ExitCode> {
+fn run_seeds(arguments: &OutageArguments) -> Result<ExitCode> {
     logging::init(false, "warn");
     let binary = match &arguments.binary {
         Some(binary) => binary.clone(),
@@ -69,29 +70,30 @@
     println!(
         "seed nodes workers  lost twice drained load cold  served  without  checks  per worker and second  verdict"
     );
-    let mut are_rules_kept = true;
+    let mut all_passed = true;
     for seed in arguments.seed..arguments.seed + arguments.count {
         let seed_folder = folder.path().join(seed.to_string());
-        are_rules_kept &= play_seed(arguments, seed, &binary, &seed_folder)?;
+        all_passed &= run_seed(arguments, seed, &binary, &seed_folder)?;
     }
-    Ok(folder.finish(are_rules_kept))
+    Ok(folder.finish(all_passed))
 }
 
-fn play_seed(arguments: &OutageArguments, seed: u64, binary: &Path, folder: &Path) -> Result<bool> {
+fn run_seed(arguments: &OutageArguments, seed: u64, binary: &Path, folder: &Path) -> Result<bool> {
     let plan = Plan::draw(seed, arguments.short);
     let slack = Duration::from_millis(arguments.slack_ms);
-    let verdict = play_plan(&plan, binary, folder, slack)?;
-    let share = verdict.served_ratio();
-    let mut without = None;
+    let verdict = run_plan(&plan, binary, folder, slack)?;
+    let served_ratio = verdict.served_ratio();
+    let mut ratio_without_outage = None;
     if arguments.compare {
         let folder = folder.join("without");
-        let compared = play_plan(&plan.without_outage(), binary, &folder, slack)?;
-        without = Some(compared.served_ratio());
+        let compared = run_plan(&plan.without_outage(), binary, &folder, slack)?;
+        ratio_without_outage = Some(compared.served_ratio());
     }
-    let is_enough = without.is_none_or(|without| share >= MIN_RELATIVE_SERVED_RATIO * without);
-    let is_kept = verdict.breaches.is_empty() && is_enough;
-    print_row(&plan, &verdict, without, is_kept);
-    for breach in verdict.breaches.iter().take(MAX_SHOWN) {
+    let serves_enough = ratio_without_outage
+        .is_none_or(|without| served_ratio >= MIN_RELATIVE_SERVED_RATIO * without);
+    let passed = verdict.breaches.is_empty() && serves_enough;
+    print_row(&plan, &verdict, ratio_without_outage, passed);
+    for breach in verdict.breaches.iter().take(MAX_VIOLATIONS_SHOWN) {
         println!(
             "     {:?} at {:.3} s: {}",
             breach.rule,
@@ -99,10 +101,10 @@
             breach.what
         );
     }
-    if !is_kept {
+    if !passed {
         print_steps(&plan);
     }
-    Ok(is_kept)
+    Ok(passed)
 }
 
 fn print_steps(plan: &Plan) {
@@ -112,23 +114,24 @@
     }
 }
 
-fn play_plan(plan: &Plan, binary: &Path, folder: &Path, slack: Duration) -> Result<Verdict> {
+fn run_plan(plan: &Plan, binary: &Path, folder: &Path, slack: Duration) -> Result<Verdict> {
     let history = run(plan, binary, folder).into_diagnostic()?;
     Ok(check(plan, &history, slack))
 }
 
-fn print_row(plan: &Plan, verdict: &Verdict, without: Option<f64>, is_kept: bool) {
+fn print_row(plan: &Plan, verdict: &Verdict, ratio_without_outage: Option<f64>, passed: bool) {
     let [lost, twice, drained, load, cold] = RULES.map(|rule| verdict.count(rule));
-    let without = without.map_or("-".to_string(), |share| format!("{share:.4}"));
+    let ratio_without_outage =
+        ratio_without_outage.map_or("-".to_string(), |ratio| format!("{ratio:.4}"));
     let worker_seconds = plan.workers as f64 * plan.duration.as_secs_f64();
     println!(
-        "{:4} {:5} {:7} {lost:5} {twice:5} {drained:7} {load:4} {cold:4}  {:.4}  {without:>7} {:7}  {:21.2}  {}",
+        "{:4} {:5} {:7} {lost:5} {twice:5} {drained:7} {load:4} {cold:4}  {:.4}  {ratio_without_outage:>7} {:7}  {:21.2}  {}",
         plan.seed,
         plan.nodes,
         plan.workers,
         verdict.served_ratio(),
         verdict.health_checks,
         verdict.health_checks as f64 / worker_seconds,
-        if is_kept { "kept" } else { "BROKEN" },
+        if passed { "kept" } else { "BROKEN" },
     );
 }
