--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -1,8 +1,9 @@
-//! Counts the bytes that a front end's decisions hold: `decision-memory plain|module WORKERS FUNCTIONS CALLS SEED`.
+//! Counts the bytes that the decision module of a front end holds: `decision-memory plain|module WORKERS FUNCTIONS CALLS SEED`.
 //!
-//! Prints the most that was held and what is held at the end. It is a program of its own, as counting needs an
-//! allocator that would slow the timed parts. With as many calls as functions each is called once, and the end is
-//! after they are forgotten. It prints `slow` where that takes too long.
+//! Prints the peak and the bytes held at the end, or `slow` if the run takes longer than 10 s. `plain` selects the
+//! reference implementation, `module` the decision module. It is a separate program because counting needs an allocator
+//! that would slow down the timed benchmarks. If CALLS equals FUNCTIONS, each function is called once, and the end is
+//! after the functions have been forgotten.
 
 use std::time::{Duration, Instant};
 
@@ -22,13 +23,13 @@
 #[path = "../../../pipithub-policy/tests/simulated_fleet/mod.rs"]
 mod simulated_fleet;
 
-/// Longer runs are given up.
+/// The maximum duration of a run, after which it is given up.
 const MAX_DURATION: Duration = Duration::from_secs(10);
-/// Actions of one event that fit without growth, so that no list of actions is counted.
-const ACTIONS: usize = 100_000;
-/// Calls a second.
+/// The capacity of the list of actions. The list must not grow, as its growth would be counted.
+const ACTION_CAPACITY: usize = 100_000;
+/// Calls per second.
 const RATE: u64 = 700;
-/// How long the end is awaited: functions are forgotten after 60 s at the usual settings.
+/// How long the run continues without arrivals, so that functions are forgotten: by default this takes 60 s.
 const FORGETTING_TIME: Time = 75_000 * MS;
 
 impl DecisionModule for Reference {
@@ -43,37 +44,37 @@
 
 /// Bytes that a front end held.
 struct HeldBytes {
-    /// The most at any time.
+    /// The highest number after any event.
     peak: i64,
-    /// At the end.
+    /// The number at the end.
     end: i64,
 }
 
-/// Counts what a front end holds in a day; `None` where it takes too long.
-fn count<F: DecisionModule>(mut day: Scenario, once: bool) -> Option<HeldBytes> {
+/// Counts the bytes that a front end holds in a scenario; `None` if the run takes too long.
+fn count<F: DecisionModule>(mut scenario: Scenario, once: bool) -> Option<HeldBytes> {
     let began = Instant::now();
-    day.functions.called_once = once;
-    let settings = day.settings.clone();
-    let mut world = SimulatedFleet::new(day);
-    let mut actions = Vec::with_capacity(ACTIONS);
+    scenario.functions.called_once = once;
+    let settings = scenario.settings.clone();
+    let mut fleet = SimulatedFleet::new(scenario);
+    let mut actions = Vec::with_capacity(ACTION_CAPACITY);
     let mut front_end = None;
     let mut held = measure(|| front_end = Some(F::start(settings.clone(), 1))).bytes_current;
     let (mut front_end, mut peak, mut stopped) = (front_end?, held, !once);
-    let mut next = Some((world.now(), world.endpoint_snapshot()));
+    let mut next = Some((fleet.now(), fleet.endpoint_snapshot()));
     while let Some((at, event)) = next {
         actions.clear();
-        // The event is made within, as parts of it are kept.
+        // The event is cloned within the measurement, as the front end keeps parts of it.
         held += measure(|| front_end.handle(at, event.clone(), &mut actions)).bytes_current;
         peak = peak.max(held);
-        world.apply(&actions);
+        fleet.apply(&actions);
         if began.elapsed() > MAX_DURATION {
             return None;
         }
-        next = world.next_event();
+        next = fleet.next_event();
         if next.is_none() && !stopped {
             stopped = true;
-            world.stop_arrivals(FORGETTING_TIME);
-            next = world.next_event();
+            fleet.stop_arrivals(FORGETTING_TIME);
+            next = fleet.next_event();
         }
     }
     Some(HeldBytes { peak, end: held })
@@ -81,14 +82,14 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
-    let code = arguments.next().ok_or("plain or module?")?;
+    let implementation = arguments.next().ok_or("plain or module?")?;
     let numbers = arguments
         .map(|a| a.parse())
         .collect::<Result<Vec<u64>, _>>()?;
     let [workers, functions, calls, seed] = numbers[..] else {
         return Err("four numbers are needed".into());
     };
-    let day = Scenario::healthy(
+    let scenario = Scenario::healthy(
         seed,
         workers as usize,
         functions,
@@ -96,10 +97,10 @@
         calls * 1_000 * MS / RATE,
     );
     let once = calls == functions;
-    let counted = if code == "plain" {
-        count::<Reference>(day, once)
+    let counted = if implementation == "plain" {
+        count::<Reference>(scenario, once)
     } else {
-        count::<Module>(day, once)
+        count::<Module>(scenario, once)
     };
     match counted {
         Some(held) => println!("{} {}", held.peak, held.end),
--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -18,13 +18,13 @@
 /// Arguments of `pipithub-bench hollow`.
 #[derive(Args)]
 pub(crate) struct HollowArguments {
-    /// The configuration of the first one; the others differ from it by name and seed.
+    /// The configuration of all front ends, which differ only by name and seed.
     #[arg(long)]
     config: PathBuf,
     /// The number of front ends.
     #[arg(long)]
     count: usize,
-    /// The number of the first one.
+    /// The number of the first front end.
     #[arg(long, default_value_t = 0)]
     first: usize,
 }
@@ -47,6 +47,7 @@
 struct AwaitedEvent {
     /// Its index; 0 if none is awaited.
     index: Cell<u64>,
+    /// The number of front ends that have not received it.
     behind: Cell<usize>,
     /// When the last front end received it, in Unix nanoseconds.
     at: Cell<u64>,
@@ -54,7 +55,7 @@
 }
 
 impl AwaitedEvent {
-    /// Notes that a front end has advanced from one event to a later one.
+    /// Records that a front end has advanced from one event to a later one.
     fn advanced(&self, from: u64, to: u64) {
         let index = self.index.get();
         if index == 0 || from >= index || to < index {
--- a/crates/pipithub-bench/src/latency.rs
+++ b/crates/pipithub-bench/src/latency.rs
@@ -8,7 +8,7 @@
 
 /// An empty histogram of latencies.
 pub(crate) fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("good bounds")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("the bounds are valid")
 }
 
 /// A quantile of the latencies, in milliseconds.
--- a/crates/pipithub-bench/src/load.rs
+++ b/crates/pipithub-bench/src/load.rs
@@ -23,7 +23,7 @@
 const WORK_MS: u64 = 2;
 /// Run time of a long call, in milliseconds.
 const LONG_WORK_MS: u64 = 3_000;
-/// How long an answer is awaited before the load fails.
+/// The load fails if no answer arrives for this long.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 const NANOSECONDS_PER_MICROSECOND: u64 = 1_000;
@@ -121,21 +121,23 @@
         }
     }
 
-    fn in_time(&self, now: u64) -> bool {
+    fn is_publishing(&self, now: u64) -> bool {
         now < self.load.seconds * NANOSECONDS_PER_SECOND
     }
 
     fn call_is_due(&self, now: u64) -> bool {
         match self.load.arrivals {
-            Arrivals::Rate(_) => self.in_time(now) && now >= self.next_due,
-            Arrivals::Concurrency(limit) => self.in_time(now) && self.unanswered.len() < limit,
+            Arrivals::Rate(_) => self.is_publishing(now) && now >= self.next_due,
+            Arrivals::Concurrency(limit) => {
+                self.is_publishing(now) && self.unanswered.len() < limit
+            }
             Arrivals::LongCalls(count) => (self.published as usize) < count,
         }
     }
 
-    /// Whether further calls become due by the passage of time.
+    /// Whether further calls become due as time passes, independently of answers.
     fn more_to_come(&self, now: u64) -> bool {
-        matches!(self.load.arrivals, Arrivals::Rate(_)) && self.in_time(now)
+        matches!(self.load.arrivals, Arrivals::Rate(_)) && self.is_publishing(now)
     }
 
     async fn publish(&mut self, client: &QueueClient) -> Result<()> {
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -97,8 +97,8 @@
             return Ok(());
         }
         Some(Command::Scale(scale)) => {
-            let beside = std::env::current_exe()?.with_file_name("pipithub");
-            return scale::run(scale, arguments.binary.unwrap_or(beside)).await;
+            let default_binary = std::env::current_exe()?.with_file_name("pipithub");
+            return scale::run(scale, arguments.binary.unwrap_or(default_binary)).await;
         }
         Some(Command::Hollow(_) | Command::Directories) | None => {}
     }
--- a/crates/pipithub-bench/src/membership.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -1,4 +1,4 @@
-//! A fleet's membership in simulated time, over the very cores: what it costs and how soon it knows of a fault.
+//! A fleet's membership in simulated time, with the real membership cores: its cost, and how soon it detects a fault.
 
 mod measurements;
 mod meter;
@@ -23,9 +23,9 @@
 const ZONES: usize = 7;
 /// The number of zones in the scenario in which one in 21 members fails.
 const MANY_ZONES: usize = 21;
-/// The number of seeds, by which other members join.
+/// The number of seeds, which are the members that others join through.
 const SEEDS: usize = 3;
-/// The part of the datagrams that each link loses in the scenario `loss`.
+/// The fraction of datagrams that each link loses in the scenario `loss`.
 const LOSS: f64 = 0.01;
 const JITTER: Time = 3_000_000;
 /// The time between the convergence and the next measurement.
@@ -110,7 +110,7 @@
             return row;
         }
         let mut meter = self.meter(&fleet);
-        meter.pass(&mut fleet, SETTLING_TIME);
+        meter.run_for(&mut fleet, SETTLING_TIME);
         let mut meter = self.meter(&fleet);
         self.measure_rest(&mut fleet, &mut meter, &mut row);
         meter.worst = meter::Rate::default();
@@ -163,7 +163,7 @@
         Meter::new(fleet, self.patience.min(MAX_PATIENCE_SECONDS) * SECOND)
     }
 
-    /// What it took until all members knew all.
+    /// Measures the time and the cost from the start until all members know each other.
     fn measure_start(&self, fleet: &mut Fleet, mib_before: f64) -> Measurements {
         let mut meter = self.meter(fleet);
         let cpu = CpuReading::take(fleet);
@@ -186,13 +186,13 @@
         row
     }
 
-    /// What the fleet costs while nothing happens.
+    /// Measures the cost of the idle fleet.
     fn measure_rest(&self, fleet: &mut Fleet, meter: &mut Meter, row: &mut Measurements) {
         let bytes = fleet.sent_bytes.clone();
         let datagrams = fleet.sent_datagrams.clone();
         let cpu = CpuReading::take(fleet);
         let rest = self.rest.max(1);
-        meter.pass(fleet, rest * SECOND);
+        meter.run_for(fleet, rest * SECOND);
         let used = cpu.since(fleet, rest as f64);
         (row.cpu, row.cpu_simulation) = (used.cores, used.simulation);
         let byte_rate = meter::Rate::between(&bytes, &fleet.sent_bytes, rest as f64);
@@ -201,7 +201,7 @@
         (row.messages, row.messages_worst) = (datagram_rate.mean, datagram_rate.highest);
     }
 
-    /// Lets the scenario's fault happen and waits until the fleet knows of it.
+    /// Injects the scenario's fault and waits until the fleet has converged again.
     fn inject_fault(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
         match self.scenario {
             Scenario::Regions => self.partition_regions(fleet, meter),
@@ -221,7 +221,7 @@
                 .network
                 .set_partition(&members_of(a), &members_of(b), true);
         }
-        meter.pass(fleet, PARTITION_TIME);
+        meter.run_for(fleet, PARTITION_TIME);
         fleet.network.heal();
         Detection {
             first: 0.0,
@@ -249,10 +249,13 @@
     }
 
     fn kill_members(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
-        let dead: Vec<usize> = (0..self.size).filter(|member| self.dies(*member)).collect();
-        dead.iter().for_each(|member| fleet.kill(*member));
+        let killed: Vec<usize> = (0..self.size)
+            .filter(|member| self.is_killed(*member))
+            .collect();
+        killed.iter().for_each(|member| fleet.kill(*member));
         let first = meter.until(fleet, |fleet| {
-            dead.iter()
+            killed
+                .iter()
                 .any(|member| fleet.state_counts(*member).down > 0)
         });
         let all = meter.until(fleet, Fleet::has_converged);
@@ -264,7 +267,7 @@
         Detection { first, all }
     }
 
-    fn dies(&self, member: usize) -> bool {
+    fn is_killed(&self, member: usize) -> bool {
         match self.scenario {
             Scenario::Ordinary | Scenario::Loss => member == self.size - 1,
             // The last zone: the seeds are the first members, in the first zones.
--- a/crates/pipithub-bench/src/membership/measurements.rs
+++ b/crates/pipithub-bench/src/membership/measurements.rs
@@ -5,14 +5,14 @@
 /// The result of a scenario. Times are in simulated seconds; -1 for an event that did not happen.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Measurements {
-    /// From the start until all members knew each other.
+    /// The time from the start until all members knew each other.
     #[serde(rename = "together")]
     pub convergence: f64,
-    /// From the fault until the first member detected it, in scenarios with failed members. The fault is a failure, the
-    /// end of a partition or the last restart.
+    /// The time from the fault until the first member detected it, in scenarios with failed members; 0 in the others. The
+    /// fault is a failure, the end of a partition or the last restart.
     #[serde(rename = "first")]
     pub first_detection: f64,
-    /// From the fault until all members knew exactly the running ones.
+    /// The time from the fault until all members knew exactly the running ones.
     #[serde(rename = "all")]
     pub full_detection: f64,
     /// Suspicions of running members, per member, after the fleet had settled.
@@ -27,15 +27,15 @@
     pub messages: f64,
     /// The same of the member that sent most.
     pub messages_worst: f64,
-    /// Bytes per member, mean over all members, in the worst second until the fleet converged.
+    /// Bytes sent per member, mean over all members, in the worst second until the fleet converged.
     pub bytes_start: f64,
-    /// Bytes per member, mean over all members, in the worst second after the fault.
+    /// Bytes sent per member, mean over all members, in the worst second after the fault.
     #[serde(rename = "bytes_blow")]
     pub bytes_after_fault: f64,
     /// The most bytes that any member sent in a second after the fault.
     #[serde(rename = "bytes_blow_worst")]
     pub bytes_after_fault_worst: f64,
-    /// CPU of the membership core of each member of an idle fleet, as a part of a processor core.
+    /// CPU of the membership core of each member of an idle fleet, as a fraction of a processor core.
     pub cpu: f64,
     /// The same until the fleet converged.
     pub cpu_start: f64,
--- a/crates/pipithub-bench/src/membership/meter.rs
+++ b/crates/pipithub-bench/src/membership/meter.rs
@@ -8,7 +8,7 @@
 use super::{NEVER, SECOND, STEP};
 use crate::process_usage::ProcessUsage;
 
-/// A time in seconds.
+/// Converts a time to seconds.
 pub(super) fn seconds(time: Time) -> f64 {
     time as f64 / SECOND as f64
 }
@@ -21,7 +21,7 @@
 }
 
 impl Rate {
-    /// The rate that follows from each member's count before and after a time.
+    /// The rate of the increase of each member's count within a number of seconds.
     pub(super) fn between(before: &[u64], after: &[u64], seconds: f64) -> Rate {
         let rates = || {
             after
@@ -53,7 +53,7 @@
 }
 
 impl Meter {
-    /// A meter that starts now. It waits for no state longer than `patience`.
+    /// A meter that starts now. `patience` limits how long it waits for a state.
     pub(super) fn new(fleet: &Fleet, patience: Time) -> Meter {
         Meter {
             bytes_before: fleet.sent_bytes.clone(),
@@ -78,14 +78,16 @@
     }
 
     fn count(&mut self, fleet: &Fleet, event: &Event) {
-        let lives = |name: &str| {
+        let is_running = |name: &str| {
             name.strip_prefix("front-")
                 .and_then(|number| number.parse().ok())
                 .is_some_and(|number| fleet.is_running(number))
         };
         match event {
-            Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
-            Event::Down { member, .. } if lives(&member.identity.name) => self.false_deaths += 1.0,
+            Event::Suspected(member) if is_running(&member.identity.name) => self.suspected += 1.0,
+            Event::Down { member, .. } if is_running(&member.identity.name) => {
+                self.false_deaths += 1.0
+            }
             Event::MemberLimitReached(_) => self.rejected_members += 1.0,
             _ => {}
         }
@@ -101,15 +103,16 @@
         self.read_at = now;
     }
 
-    /// Lets a time pass.
-    pub(super) fn pass(&mut self, fleet: &mut Fleet, time: Time) {
+    /// Runs the fleet for a time.
+    pub(super) fn run_for(&mut self, fleet: &mut Fleet, time: Time) {
         let until = fleet.network.now() + time;
         while fleet.network.now() < until {
             self.step(fleet);
         }
     }
 
-    /// Seconds until the condition holds; `NEVER` where it did not in the time of the patience.
+    /// Runs the fleet until a condition holds. Returns the seconds until then, or `NEVER` if it does not hold within the
+    /// patience.
     pub(super) fn until(&mut self, fleet: &mut Fleet, condition: impl Fn(&Fleet) -> bool) -> f64 {
         let begun = fleet.network.now();
         while fleet.network.now() < begun + self.patience {
@@ -122,15 +125,15 @@
     }
 }
 
-/// CPU for each member and simulated second, as a share of a processor core.
+/// CPU time per member and simulated second, as a fraction of a processor core.
 pub(super) struct CpuShares {
-    /// Of the membership cores.
+    /// The part of the membership cores.
     pub cores: f64,
-    /// Of the simulation around them.
+    /// The part of the simulation itself.
     pub simulation: f64,
 }
 
-/// The CPU time of the process, and the part of it that the membership cores used, at one moment.
+/// A reading of the CPU time of the process and of the time spent in the membership cores.
 pub(super) struct CpuReading {
     cpu_seconds: f64,
     core_seconds: f64,
@@ -147,7 +150,8 @@
         }
     }
 
-    /// What was used since this reading. The process has one thread, so its CPU is shared out as its time was.
+    /// The CPU time used since this reading. The process has one thread, so its CPU time is divided in proportion to the
+    /// elapsed time that the membership cores and the simulation took.
     pub(super) fn since(&self, fleet: &Fleet, simulated_seconds: f64) -> CpuShares {
         let now = CpuReading::take(fleet);
         let elapsed = now.at.duration_since(self.at).as_secs_f64().max(1e-9);
--- a/crates/pipithub-bench/src/morning.rs
+++ b/crates/pipithub-bench/src/morning.rs
@@ -76,9 +76,9 @@
 }
 
 impl MorningArguments {
-    /// Simulates the mornings with each strategy and prints what the directory was asked.
+    /// Simulates the daily peaks with each strategy and prints the load of the directory.
     pub(crate) fn run(&self) {
-        let calls = self.draw_calls();
+        let calls = self.generate_calls();
         println!(
             "{} front ends, {} users, {} calls each in an hour, {DAYS} days; facts fresh for two hours",
             self.front_ends, self.users, self.calls
@@ -97,15 +97,15 @@
         }
     }
 
-    /// The calls of each front end, in the order of their times.
-    fn draw_calls(&self) -> Vec<Vec<Call>> {
+    /// Generates the calls of each front end, in the order of their times.
+    fn generate_calls(&self) -> Vec<Vec<Call>> {
         let mut random = SplitMix64::new(SEED);
         let mut calls: Vec<Vec<Call>> = vec![Vec::new(); self.front_ends as usize];
         for day in 0..DAYS {
             for user in 0..self.users {
                 for _ in 0..self.calls {
-                    let after = (random.unit() * PEAK_LENGTH as f64) as Time;
-                    let at = day * DAY + PEAK_START + after;
+                    let offset = (random.unit() * PEAK_LENGTH as f64) as Time;
+                    let at = day * DAY + PEAK_START + offset;
                     calls[random.below(self.front_ends as usize)].push(Call { at, user });
                 }
             }
@@ -117,7 +117,7 @@
     }
 }
 
-/// A cache that asks for each user who is not known or no longer fresh, while the call waits.
+/// Simulates a cache that looks up each user who is unknown or whose record is no longer fresh, while the call waits.
 fn simulate_cache(calls: &[Call], load: &mut DirectoryLoad) {
     let mut known_since: HashMap<usize, Time> = HashMap::new();
     for Call { at, user } in calls {
@@ -133,7 +133,7 @@
 }
 
 impl DirectoryLoad {
-    /// Counts a search for a number of users.
+    /// Records a search for a number of users.
     fn count_search(&mut self, at: Time, users: u64) {
         *self.searches_by_second.entry(at / SECOND).or_default() += 1;
         self.users_asked_for += users;
--- a/crates/pipithub-bench/src/morning/front_end.rs
+++ b/crates/pipithub-bench/src/morning/front_end.rs
@@ -1,4 +1,4 @@
-//! One simulated front end: an admission and a directory core with a directory that answers after a fixed time.
+//! A simulated front end: admission control and a directory core, with a directory that answers after a fixed time.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 const SEARCH_TIME: Time = 5 * MILLISECOND;
 /// How long cached records are used if the directory does not answer.
 const MAX_STALE: Time = 30 * HOUR;
-/// How long it is cached that a user does not exist.
+/// How long the absence of a user is cached.
 const NEGATIVE_TIME: Time = 30 * SECOND;
 /// How long before the peak users are refreshed.
 const PEAK_LEAD_MS: i64 = 1_800_000;
@@ -107,7 +107,7 @@
         ));
     }
 
-    /// The next answer that has arrived.
+    /// Removes and returns the earliest answer that is due; `None` if none is.
     fn next_answer(&mut self, now: Time) -> Option<PendingAnswer> {
         let first = self.answers.first_entry()?;
         (first.key().at <= now).then(|| first.remove())
@@ -137,7 +137,7 @@
         );
     }
 
-    /// Carries outputs between core and admission until neither has any.
+    /// Passes outputs between the directory core and admission control until there are none left.
     fn settle(&mut self, now: Time) {
         loop {
             self.settle_admission(now);
@@ -171,14 +171,14 @@
                 } => self.load.refused += 1,
                 AdmissionOutput::Reject { .. } => {}
                 AdmissionOutput::LookUp { user, urgent } => {
-                    let wanted = Input::LookUp { user, urgent };
-                    self.core.handle(now, wanted, &mut self.outputs);
+                    let look_up = Input::LookUp { user, urgent };
+                    self.core.handle(now, look_up, &mut self.outputs);
                 }
             }
         }
     }
 
-    /// Has the directory find all users that are asked for, after its usual time.
+    /// Schedules the directory's answer to a search after `SEARCH_TIME`. It finds all users that the search names.
     fn search(&mut self, now: Time, search: SearchId, query: Query) {
         let users = match query {
             Query::Users(users) => users,
--- a/crates/pipithub-bench/src/overhead.rs
+++ b/crates/pipithub-bench/src/overhead.rs
@@ -167,12 +167,12 @@
 async fn measure_memory(client: &mut QueueClient, pid: u32) -> Result<()> {
     let before = ProcessUsage::of(pid).resident_mib;
     let load = run_load(client, Arrivals::LongCalls(LONG_CALLS), 2, 4);
-    let look = async {
+    let memory_reading = async {
         tokio::time::sleep(MEMORY_DELAY).await;
         ProcessUsage::of(pid).resident_mib
     };
-    let (result, under_load) = tokio::join!(load, look);
-    // Refused calls are refused at once, so they are not in flight.
+    let (result, under_load) = tokio::join!(load, memory_reading);
+    // Calls that are not served are rejected at once, so they are not in flight.
     let in_flight = LONG_CALLS - result?.not_served;
     println!("  {before:.1} MiB before, {under_load:.1} MiB with {in_flight} calls in flight");
     Ok(())
--- a/crates/pipithub-bench/src/process_usage.rs
+++ b/crates/pipithub-bench/src/process_usage.rs
@@ -6,7 +6,7 @@
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 /// The index of the user time in `/proc/PID/stat`, among the fields after the command name.
 const USER_TICKS_FIELD: usize = 11;
-/// The index of the kernel time, counted likewise.
+/// The index of the kernel time among the same fields.
 const KERNEL_TICKS_FIELD: usize = 12;
 
 /// The CPU time and the memory of a process.
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -18,9 +18,9 @@
 
 const SECOND: Time = 1_000_000_000;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
-/// Look-ups of the measurement of the mean.
+/// The number of look-ups over which the mean is measured.
 const MEAN_LOOKUPS: usize = 2_000_000;
-/// Look-ups of the measurement of quantiles.
+/// The number of look-ups over which quantiles are measured.
 const LOOKUPS: usize = 1_000_000;
 /// The maximum number of look-ups during a refresh of all users.
 const MAX_LOOKUPS: usize = 1 << 27;
