--- a/crates/pipithub-bench/src/scale.rs
+++ b/crates/pipithub-bench/src/scale.rs
@@ -107,10 +107,10 @@
         Ok(sizes)
     }
 
-    /// The sizes to measure at, with the default ones of the part.
-    pub(crate) fn sizes_or(&self, usual: &[u64]) -> Vec<u64> {
+    /// The sizes to measure at: those of the plan, or the default ones if the plan has none.
+    pub(crate) fn sizes_or(&self, default_sizes: &[u64]) -> Vec<u64> {
         if self.sizes.is_empty() {
-            usual.to_vec()
+            default_sizes.to_vec()
         } else {
             self.sizes.clone()
         }
--- a/crates/pipithub-bench/src/scale/consensus.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -20,15 +20,15 @@
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// The planned number of configuration changes per day.
 const PLANNED_CHANGES_PER_DAY: f64 = 1_500.0;
-/// The entries that result from them in a year.
+/// The number of entries that result from these changes in a year.
 const PLANNED_ENTRIES: u64 = 547_500;
 const PLANNED_BATCH: u64 = 100;
 const PLANNED_LEASES: u64 = 10_000;
-/// Entries that are committed during a measurement.
+/// The number of entries that are committed during a measurement.
 const ENTRIES: u64 = 20_000;
-/// Entries that are committed before a measurement.
+/// The number of entries that are committed before a measurement.
 const WARM_UP_ENTRIES: u64 = 2_000;
-/// Entries whose messages are counted after many others have been committed.
+/// The number of entries whose messages are counted after many others have been committed.
 const LATER_ENTRIES: u64 = 100;
 /// The core does not support clusters of seven voters.
 const CLUSTER_SIZES: [usize; 2] = [3, 5];
--- a/crates/pipithub-bench/src/scale/consensus/cluster.rs
+++ b/crates/pipithub-bench/src/scale/consensus/cluster.rs
@@ -1,4 +1,4 @@
-//! Voters whose messages arrive at once and in order, and whose disks store at once and keep nothing.
+//! Voters whose messages arrive immediately and in order, and whose writes complete immediately but are not kept.
 
 use std::collections::VecDeque;
 
@@ -8,9 +8,9 @@
 use super::{TICK, new_voter};
 use crate::Result;
 
-/// Front ends that ask in turn.
+/// The number of front ends that send requests in turn.
 const CLIENTS: u64 = 1_700;
-/// Ticks within which one of the voters must lead.
+/// The number of ticks within which the first leader must be elected.
 const MAX_TICKS: usize = 10_000;
 
 /// An input on its way to a voter.
@@ -33,7 +33,7 @@
 }
 
 impl Cluster {
-    /// Starts the voters and waits until one leads.
+    /// Starts the voters and runs them until one leads. Fails if none does within `MAX_TICKS`.
     pub(super) fn new(voters: usize, seed: u64) -> Result<Cluster> {
         let mut cluster = Cluster {
             voters: (1..=voters as u64)
@@ -116,13 +116,13 @@
         let mut left = entries;
         while left > 0 {
             let leader = self.leader().ok_or("no leader")?;
-            let now = batch.min(left);
-            for _ in 0..now {
+            let count = batch.min(left);
+            for _ in 0..count {
                 let request = self.next_request();
                 self.enqueue(leader, Input::Request(request));
             }
             self.deliver_all();
-            left -= now;
+            left -= count;
         }
         match self.answers - answers_before {
             answered if answered == entries => Ok(()),
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -1,4 +1,5 @@
-//! What a call, a list event and a tick cost the decision module, beside its plain reference, on the same days.
+//! The cost of a call, an endpoint list event and a tick in the decision module and, in the same simulated scenarios, in
+//! its reference implementation, which is called `plain` in the results.
 
 mod figures;
 mod memory;
@@ -13,7 +14,7 @@
 use memory::MemoryCount;
 use run::Runs;
 
-// The older edition's layout is kept: these files belong to the tests of the policy's crate.
+// These files belong to the tests of pipithub-policy, so they are neither formatted nor linted here.
 #[rustfmt::skip]
 #[allow(clippy::all)]
 #[path = "../../../pipithub-policy/tests/reference/mod.rs"]
@@ -24,60 +25,63 @@
 mod simulated_fleet;
 
 const SIZES: [u64; 6] = [100, 300, 1_000, 4_000, 16_000, 32_000];
-/// Workers and functions that are planned for.
+/// The planned number of workers.
 const PLANNED_WORKERS: u64 = 16_000;
+/// The planned number of functions.
 const FUNCTIONS: u64 = 43_000;
-/// Counts of functions that are called once each.
+/// The numbers of functions with which memory is measured; each function is called once.
 const FUNCTION_COUNTS: [u64; 3] = [430, 4_300, FUNCTIONS];
-/// A day in simulated time.
-const LENGTH: Time = 4_000 * MS;
-/// Calls a second of the two quiet days.
+/// The simulated duration of a scenario.
+const DURATION: Time = 4_000 * MS;
+/// Calls per second in the quiet scenario with few calls, and in all scenarios with faults.
 const RATE: u64 = 100;
+/// Calls per second in the quiet scenario with many calls.
 const HIGH_RATE: u64 = 700;
-/// The reference plays days with faults up to a size, and each day once from a size on.
-const MAX_PLAIN_SIZE_WITH_FAULTS: u64 = 16_000;
-const PLAIN_ONCE_FROM: u64 = 4_000;
-/// Calls before the state's memory is counted.
+/// The largest size at which the reference runs scenarios with faults.
+const MAX_REFERENCE_SIZE_WITH_FAULTS: u64 = 16_000;
+/// From this size on, the reference runs each scenario only once.
+const REFERENCE_ONCE_FROM: u64 = 4_000;
+/// The number of calls before the memory of the state is counted.
 const MEMORY_CALLS: u64 = 100;
 
-/// One of the days that are played at each size.
-struct NamedDay {
+/// One of the scenarios that are run at each size.
+struct NamedScenario {
     name: &'static str,
-    day: Scenario,
+    scenario: Scenario,
     has_faults: bool,
 }
 
-impl NamedDay {
-    fn new(name: &'static str, day: Scenario, has_faults: bool) -> Self {
-        NamedDay {
+impl NamedScenario {
+    fn new(name: &'static str, scenario: Scenario, has_faults: bool) -> Self {
+        NamedScenario {
             name,
-            day,
+            scenario,
             has_faults,
         }
     }
 }
 
-/// The days of a play at this size; the first is the one in which lists are measured too.
-fn days(plan: &Plan, play: usize, size: u64) -> Vec<NamedDay> {
+/// The scenarios of a run at this size. Endpoint list events of each kind are measured in the first one only.
+fn scenarios(plan: &Plan, play: usize, size: u64) -> Vec<NamedScenario> {
     let seed = plan.seed + play as u64;
-    let quiet = |rate| Scenario::healthy(seed, size as usize, FUNCTIONS, rate, LENGTH);
-    let mut days = vec![
-        NamedDay::new("quiet, 100/s", quiet(RATE), false),
-        NamedDay::new("quiet, 700/s", quiet(HIGH_RATE), false),
+    let quiet = |rate| Scenario::healthy(seed, size as usize, FUNCTIONS, rate, DURATION);
+    let mut scenarios = vec![
+        NamedScenario::new("quiet, 100/s", quiet(RATE), false),
+        NamedScenario::new("quiet, 700/s", quiet(HIGH_RATE), false),
     ];
-    for (name, day) in quiet(RATE).with_faults() {
-        days.push(NamedDay::new(name, day, true));
+    for (name, scenario) in quiet(RATE).with_faults() {
+        scenarios.push(NamedScenario::new(name, scenario, true));
     }
-    days
+    scenarios
 }
 
-/// Measures calls, lists and ticks by the number of workers, and memory by it and by the number of functions.
+/// Measures calls, list events and ticks by the number of workers, and memory by the numbers of workers and functions.
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let sizes = plan.sizes_or(&SIZES);
     let mut by_workers = Figures::default();
     for &size in &sizes {
         for play in 0..plan.plays {
-            measure_days(plan, play, size, &mut by_workers);
+            measure_scenarios(plan, play, size, &mut by_workers);
         }
         measure_memory(plan, size, &mut by_workers)?;
     }
@@ -99,48 +103,52 @@
     }
 }
 
-fn measure_days(plan: &Plan, play: usize, size: u64, figures: &mut Figures) {
-    for (index, named) in days(plan, play, size).into_iter().enumerate() {
-        // The reference goes through all that it holds for each call, and the module, in turns with it, finds the
-        // processor's caches filled with that: `--only module` plays it alone.
-        let with_plain = plan.wants("plain")
-            && (!named.has_faults || size <= MAX_PLAIN_SIZE_WITH_FAULTS)
-            && (play == 0 || size < PLAIN_ONCE_FROM);
-        let Runs { plain, mut module } = Runs::play(&named.day, with_plain);
+fn measure_scenarios(plan: &Plan, play: usize, size: u64, figures: &mut Figures) {
+    for (index, named) in scenarios(plan, play, size).into_iter().enumerate() {
+        // The reference iterates over its whole state for each call. As both run in turns, this evicts the module's
+        // state from the processor's caches; `--only module` runs the module alone.
+        let with_reference = plan.wants("plain")
+            && (!named.has_faults || size <= MAX_REFERENCE_SIZE_WITH_FAULTS)
+            && (play == 0 || size < REFERENCE_ONCE_FROM);
+        let Runs {
+            reference,
+            mut module,
+        } = Runs::run(&named.scenario, with_reference);
         module.add_to(figures, named.name, "module", size);
-        if let Some(plain) = &plain {
-            plain.add_to(figures, named.name, "plain", size);
+        if let Some(reference) = &reference {
+            reference.add_to(figures, named.name, "plain", size);
         }
         if index == 0 {
             module.add_lists_to(figures, "module", size);
-            if let Some(mut plain) = plain {
-                plain.add_lists_to(figures, "plain", size);
+            if let Some(mut reference) = reference {
+                reference.add_lists_to(figures, "plain", size);
             }
         }
     }
 }
 
 fn measure_memory(plan: &Plan, size: u64, figures: &mut Figures) -> Result<()> {
-    for code in ["plain", "module"] {
+    for implementation in ["plain", "module"] {
         let count = MemoryCount {
-            code,
+            implementation,
             workers: size,
             functions: FUNCTIONS,
             calls: MEMORY_CALLS,
         };
         if let Some(memory) = count.run(plan)? {
-            let what = format!("memory after the list and {MEMORY_CALLS} calls, {code}");
+            let what = format!("memory after the list and {MEMORY_CALLS} calls, {implementation}");
             figures.add(&what, "bytes", size, memory.end);
         }
     }
     Ok(())
 }
 
-/// Functions called once each, with the planned workers: the most that is held, and what is after they are forgotten.
+/// Measures the memory with the planned workers and functions that are called once each: the peak, and the memory after
+/// the functions have been forgotten.
 fn measure_functions(plan: &Plan, figures: &mut Figures) -> Result<()> {
     for functions in FUNCTION_COUNTS {
         let count = MemoryCount {
-            code: "module",
+            implementation: "module",
             workers: PLANNED_WORKERS,
             functions,
             calls: functions,
--- a/crates/pipithub-bench/src/scale/decisions/figures.rs
+++ b/crates/pipithub-bench/src/scale/decisions/figures.rs
@@ -1,4 +1,4 @@
-//! Values that plays add one by one, and the series that come of them.
+//! Collects the values of runs by figure and size, and turns them into series.
 
 use std::collections::BTreeMap;
 
@@ -15,17 +15,17 @@
     by_size: BTreeMap<u64, Vec<f64>>,
 }
 
-/// Values by figure and size; figures stand in the order in which they first came.
+/// Values by figure and size. Figures are in the order in which they were first added.
 #[derive(Default)]
 pub(super) struct Figures {
     figures: Vec<FigureValues>,
 }
 
 impl Figures {
-    /// Adds one value.
+    /// Adds a value to a figure, which is created if it does not exist yet.
     pub(super) fn add(&mut self, what: &str, unit: &'static str, size: u64, value: f64) {
-        let known = self.figures.iter().position(|figure| figure.what == what);
-        let index = known.unwrap_or_else(|| {
+        let existing = self.figures.iter().position(|figure| figure.what == what);
+        let index = existing.unwrap_or_else(|| {
             self.figures.push(FigureValues {
                 what: what.to_string(),
                 unit,
@@ -40,22 +40,22 @@
             .push(value);
     }
 
-    /// Adds the medians of what events cost; nothing where there were none.
-    pub(super) fn add_spent(&mut self, what: &str, size: u64, spent: &[Cost]) {
-        if spent.is_empty() {
+    /// Adds the median time of events and the median number of workers that they examined; nothing without events.
+    pub(super) fn add_costs(&mut self, what: &str, size: u64, costs: &[Cost]) {
+        if costs.is_empty() {
             return;
         }
-        let time_us = spent
+        let time_us = costs
             .iter()
-            .map(|one| one.time_ns / NANOSECONDS_PER_MICROSECOND)
+            .map(|cost| cost.time_ns / NANOSECONDS_PER_MICROSECOND)
             .collect();
-        let looked_at = spent.iter().map(|one| one.workers_examined).collect();
+        let examined = costs.iter().map(|cost| cost.workers_examined).collect();
         self.add(&format!("{what}, time"), "us", size, median(time_us));
         self.add(
             &format!("{what}, looked at"),
             "workers",
             size,
-            median(looked_at),
+            median(examined),
         );
     }
 
--- a/crates/pipithub-bench/src/scale/decisions/memory.rs
+++ b/crates/pipithub-bench/src/scale/decisions/memory.rs
@@ -1,37 +1,37 @@
-//! What decisions hold in memory, from the program that counts it.
+//! The memory of the decision module and its reference, counted by the program `decision-memory`.
 
 use std::process::Command;
 
 use crate::Result;
 use crate::scale::Plan;
 
-/// What is counted: which code, and for how many of each.
+/// The arguments of `decision-memory`.
 pub(super) struct MemoryCount<'a> {
-    /// `plain` or `module`.
-    pub code: &'a str,
-    /// Workers in the list.
+    /// `plain`, the reference implementation, or `module`, the decision module.
+    pub implementation: &'a str,
+    /// The number of workers in the endpoint list.
     pub workers: u64,
-    /// Functions that are called.
+    /// The number of functions that are called.
     pub functions: u64,
-    /// Calls before the end.
+    /// The number of calls.
     pub calls: u64,
 }
 
-/// Bytes that were held.
+/// The number of bytes that were held.
 pub(super) struct MemoryUse {
-    /// The most at any time.
+    /// The highest number after any event.
     pub peak: f64,
-    /// At the end.
+    /// The number at the end.
     pub end: f64,
 }
 
 impl MemoryCount<'_> {
-    /// Runs the program that counts memory; `None` where it took too long.
+    /// Runs `decision-memory`. Returns `None` if the count took too long.
     pub(super) fn run(&self, plan: &Plan) -> Result<Option<MemoryUse>> {
         let program = std::env::current_exe()?.with_file_name("decision-memory");
         let numbers = [self.workers, self.functions, self.calls, plan.seed];
         let output = Command::new(&program)
-            .arg(self.code)
+            .arg(self.implementation)
             .args(numbers.map(|number| number.to_string()))
             .output()
             .map_err(|error| {
--- a/crates/pipithub-bench/src/scale/decisions/run.rs
+++ b/crates/pipithub-bench/src/scale/decisions/run.rs
@@ -1,4 +1,4 @@
-//! One front end in its simulated day, the decision module beside its plain reference.
+//! Runs the decision module and its reference implementation in the same simulated scenario.
 
 use pipithub_policy::FrontEnd as Module;
 use pipithub_policy::api::{Action, Event, Settings, Time};
@@ -8,13 +8,15 @@
 use super::simulated_fleet::cost::{Cost, DecisionModule, MeteredRun};
 use super::simulated_fleet::{Scenario, SimulatedFleet};
 
-/// Calls of a window.
+/// The number of successive calls over which costs are averaged.
 const WINDOW: usize = 10;
-/// A front end is stopped in a day once it took so many nanoseconds, but not before so many calls.
+/// A run ends early when its calls and ticks have taken longer than this number of nanoseconds.
 const MAX_TIME_NS: f64 = 3e9;
+/// A run does not end early before this number of calls.
 const MIN_CALLS: usize = 60;
-/// Ticks after the last call, and lists of one change, that are measured.
+/// The number of measured ticks after the last call.
 const IDLE_TICKS: usize = 40;
+/// The number of measured list events with one change.
 const SMALL_LISTS: usize = 20;
 
 impl DecisionModule for Reference {
@@ -27,88 +29,98 @@
     }
 }
 
-/// One front end in its day, until it is over or took too long.
+/// The run of a front end in a scenario, until the scenario is over or the run has taken too long.
 pub(super) struct Run<F> {
-    play: MeteredRun<F>,
-    spent_ns: f64,
+    metered: MeteredRun<F>,
+    time_ns: f64,
     over: bool,
 }
 
 impl<F: DecisionModule> Run<F> {
-    fn new(day: &Scenario) -> Self {
+    fn new(scenario: &Scenario) -> Self {
         Run {
-            play: MeteredRun::new(day.clone()),
-            spent_ns: 0.0,
+            metered: MeteredRun::new(scenario.clone()),
+            time_ns: 0.0,
             over: false,
         }
     }
 
     fn step(&mut self) {
-        let play = &mut self.play;
-        let (calls_before, ticks_before) = (play.requests.len(), play.maintenance.len());
-        self.over |= !play.step();
-        if play.maintenance.len() > ticks_before {
-            self.spent_ns += play.maintenance.last().map_or(0.0, |spent| spent.time_ns);
+        let metered = &mut self.metered;
+        let (calls_before, ticks_before) = (metered.requests.len(), metered.maintenance.len());
+        self.over |= !metered.step();
+        if metered.maintenance.len() > ticks_before {
+            self.time_ns += metered.maintenance.last().map_or(0.0, |cost| cost.time_ns);
         }
-        if play.requests.len() > calls_before && calls_before > 0 {
-            self.spent_ns += play.requests[calls_before - 1].time_ns;
+        if metered.requests.len() > calls_before && calls_before > 0 {
+            self.time_ns += metered.requests[calls_before - 1].time_ns;
         }
-        self.over |= self.spent_ns > MAX_TIME_NS && play.requests.len() >= MIN_CALLS;
+        self.over |= self.time_ns > MAX_TIME_NS && metered.requests.len() >= MIN_CALLS;
     }
 
-    /// Adds what calls, ticks and the day's first list cost.
-    pub(super) fn add_to(&self, figures: &mut Figures, day: &str, code: &str, size: u64) {
-        let windows = self.play.windows(WINDOW);
-        figures.add_spent(&format!("{day}, a call, {code}"), size, &windows);
+    /// Adds the costs of calls, of ticks and of the first list event of the scenario.
+    pub(super) fn add_to(
+        &self,
+        figures: &mut Figures,
+        scenario: &str,
+        implementation: &str,
+        size: u64,
+    ) {
+        let windows = self.metered.windows(WINDOW);
+        figures.add_costs(
+            &format!("{scenario}, a call, {implementation}"),
+            size,
+            &windows,
+        );
         let worst = windows
             .iter()
             .map(|window| window.workers_examined)
             .fold(0.0, f64::max);
         figures.add(
-            &format!("{day}, a call in the worst window, {code}, looked at"),
+            &format!("{scenario}, a call in the worst window, {implementation}, looked at"),
             "workers",
             size,
             worst,
         );
-        figures.add_spent(
-            &format!("{day}, a tick, {code}"),
+        figures.add_costs(
+            &format!("{scenario}, a tick, {implementation}"),
             size,
-            &self.play.maintenance,
+            &self.metered.maintenance,
         );
         let first_list: Vec<Cost> = self
-            .play
+            .metered
             .endpoint_updates
             .first()
             .map(|update| update.cost)
             .into_iter()
             .collect();
-        figures.add_spent(
-            &format!("{day}, the list that removes it, {code}"),
+        figures.add_costs(
+            &format!("{scenario}, the list that removes it, {implementation}"),
             size,
             &first_list,
         );
     }
 
-    /// Adds what ticks after the last call cost, and lists of each kind.
-    pub(super) fn add_lists_to(&mut self, figures: &mut Figures, code: &str, size: u64) {
-        figures.add_spent(
-            &format!("idle, a tick, {code}"),
+    /// Adds the costs of ticks after the last call, and of list events of each kind.
+    pub(super) fn add_lists_to(&mut self, figures: &mut Figures, implementation: &str, size: u64) {
+        figures.add_costs(
+            &format!("idle, a tick, {implementation}"),
             size,
-            &self.play.idle_maintenance(IDLE_TICKS),
+            &self.metered.idle_maintenance(IDLE_TICKS),
         );
-        figures.add_spent(
-            &format!("the first list, {code}"),
+        figures.add_costs(
+            &format!("the first list, {implementation}"),
             size,
-            &[self.play.first_snapshot],
+            &[self.metered.first_snapshot],
         );
         let mut add = |kind: &str, times: usize, event: fn(&mut SimulatedFleet) -> Event| {
-            let spent: Vec<Cost> = (0..times)
+            let costs: Vec<Cost> = (0..times)
                 .map(|_| {
-                    let event = event(&mut self.play.fleet);
-                    self.play.handle(self.play.fleet.now(), event)
+                    let event = event(&mut self.metered.fleet);
+                    self.metered.handle(self.metered.fleet.now(), event)
                 })
                 .collect();
-            figures.add_spent(&format!("a list {kind}, {code}"), size, &spent);
+            figures.add_costs(&format!("a list {kind}, {implementation}"), size, &costs);
         };
         add(
             "of one change",
@@ -129,27 +141,27 @@
     }
 }
 
-/// The runs of both codes in the same day.
+/// The runs of both implementations in the same scenario.
 pub(super) struct Runs {
-    /// The plain reference; `None` where it is left out.
-    pub plain: Option<Run<Reference>>,
+    /// The reference implementation; `None` if it does not run.
+    pub reference: Option<Run<Reference>>,
     /// The decision module.
     pub module: Run<Module>,
 }
 
 impl Runs {
-    /// Plays a day into both, in turns; the reference alone may be left out.
-    pub(super) fn play(day: &Scenario, with_plain: bool) -> Runs {
-        let mut plain = with_plain.then(|| Run::new(day));
-        let mut module = Run::new(day);
-        while !module.over || plain.as_ref().is_some_and(|run| !run.over) {
-            if let Some(run) = plain.as_mut().filter(|run| !run.over) {
+    /// Runs a scenario with the decision module and, unless it is left out, the reference, event by event in turns.
+    pub(super) fn run(scenario: &Scenario, with_reference: bool) -> Runs {
+        let mut reference = with_reference.then(|| Run::new(scenario));
+        let mut module = Run::new(scenario);
+        while !module.over || reference.as_ref().is_some_and(|run| !run.over) {
+            if let Some(run) = reference.as_mut().filter(|run| !run.over) {
                 run.step();
             }
             if !module.over {
                 module.step();
             }
         }
-        Runs { plain, module }
+        Runs { reference, module }
     }
 }
--- a/crates/pipithub-bench/src/scale/fit.rs
+++ b/crates/pipithub-bench/src/scale/fit.rs
@@ -42,7 +42,7 @@
         })
     }
 
-    /// What the slope says for a size.
+    /// The value of the slope at a size.
     pub(crate) fn at(&self, size: u64) -> f64 {
         self.factor * (size as f64).powf(self.exponent)
     }
@@ -55,7 +55,7 @@
 }
 
 impl LogPoint {
-    /// `None` for a point that has no logarithms.
+    /// `None` for a point whose size or value is zero, which has no logarithm.
     fn of(point: &Point) -> Option<LogPoint> {
         (point.size > 0 && point.value > 0.0).then(|| LogPoint {
             size: (point.size as f64).ln(),
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -97,7 +97,7 @@
     let counts = coordinator.counts();
     let seconds = began.elapsed().as_secs_f64();
     let cpu_seconds = scheduled_cpu_seconds(front_end.pid()) - cpu_before;
-    let can_serve = front_end.is_well().await?;
+    let can_serve = front_end.is_healthy().await?;
     let reasons = front_end.logged("coordinator stream ended");
     println!(
         "  {workers} workers, {} bytes, {}: healthy {can_serve}; {} streams ended, the last: {}",
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -28,7 +28,7 @@
 /// The number of measured events that replace one worker each.
 const REPLACEMENTS: usize = 10;
 /// The duration of the outage. Connection attempts have their longest backoff after 2 s of it.
-const CUT_TIME: Duration = Duration::from_secs(10);
+const OUTAGE_DURATION: Duration = Duration::from_secs(10);
 /// The interval over which the rate of the coordinator is measured.
 const RATE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long front ends may take to reconnect after the outage.
@@ -161,7 +161,7 @@
     let seventh_lost = fleet
         .change(|tier| [tier.lose(2), tier.lose(3), tier.lose(4)].concat())
         .await?;
-    let cut = fleet.measure_cut().await;
+    let cut = fleet.measure_outage().await;
     let recovery = fleet.measure_recovery().await?;
     fleet.stop().await;
     Ok(Play {
@@ -293,9 +293,9 @@
     }
 
     /// Starts the outage and measures the front ends at its end.
-    async fn measure_cut(&self) -> ResourceUse {
+    async fn measure_outage(&self) -> ResourceUse {
         self.coordinator.behave(|behaviour| behaviour.cut = true);
-        tokio::time::sleep(CUT_TIME.saturating_sub(IDLE_TIME)).await;
+        tokio::time::sleep(OUTAGE_DURATION.saturating_sub(IDLE_TIME)).await;
         self.measure_idle().await
     }
 
@@ -340,7 +340,7 @@
     }
 }
 
-/// How long the coordinator wrote, and its highest rate in bytes per second.
+/// The time that the coordinator took to write an event to each front end, and its highest rate in bytes per second.
 struct Writing {
     milliseconds: f64,
     peak_rate: f64,
--- a/crates/pipithub-bench/src/scale/front_ends/front_end.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -54,21 +54,21 @@
         Ok(FrontEndProcess { child, log })
     }
 
-    /// Its process id; 0 if it has ended.
+    /// The process id of the front end; 0 if it has ended.
     pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    /// The lines of its log that contain these words.
-    pub(super) fn logged(&self, words: &str) -> Vec<String> {
-        let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        text.lines()
-            .filter(|line| line.contains(words))
+    /// The lines of the front end's log that contain a text.
+    pub(super) fn logged(&self, text: &str) -> Vec<String> {
+        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+        log.lines()
+            .filter(|line| line.contains(text))
             .map(str::to_string)
             .collect()
     }
 
-    /// The address that it listens on, from its log; `None` before it is up.
+    /// The address that the front end listens on, from its log; `None` before the front end is up.
     fn address(&self) -> Option<String> {
         let lines = self.logged("front end up");
         let address = lines.iter().find_map(|line| {
@@ -78,8 +78,8 @@
         Some(address.trim_matches('"').to_string())
     }
 
-    /// Whether it reports itself as healthy; false before it is up.
-    pub(super) async fn is_well(&self) -> Result<bool> {
+    /// Whether the front end reports itself as healthy; false before it is up.
+    pub(super) async fn is_healthy(&self) -> Result<bool> {
         let Some(address) = self.address() else {
             return Ok(false);
         };
@@ -92,7 +92,7 @@
         Ok(serde_json::from_str::<Value>(&answer)?["result"]["healthy"] == true)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
--- a/crates/pipithub-bench/src/scale/front_ends/hollow.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/hollow.rs
@@ -42,7 +42,7 @@
         Ok(process)
     }
 
-    /// Its process id; 0 if it has ended.
+    /// The process id; 0 if it has ended.
     pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
@@ -70,7 +70,7 @@
         Ok(answer["at"].as_u64().unwrap_or(0))
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -17,9 +17,9 @@
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 /// The number of measured events that replace one worker each.
 const EVENTS: usize = 20;
-/// The time between two of them.
+/// The time between two of these events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
-/// How long a front end may take to process the last one.
+/// How long a front end may take to process the last of these events.
 const EVENT_SETTLING_TIME: Duration = Duration::from_millis(100);
 /// The size of a comment on the stream, in bytes.
 const COMMENT_BYTES: u64 = 3;
@@ -88,7 +88,7 @@
     let idle_without_list = idle_cpu(pid).await;
     let list_bytes = event(1, true, tier.hosts()).len() as f64;
     let first = measure_list(&coordinator, &tier, pid, 1).await?;
-    if !front_end.is_well().await? {
+    if !front_end.is_healthy().await? {
         let warnings = front_end.logged("WARN");
         let last = warnings.last();
         return Err(format!(
@@ -117,7 +117,7 @@
     })
 }
 
-/// The CPU of an idle front end, as a part of a core.
+/// The CPU of an idle front end, as a fraction of a core.
 async fn idle_cpu(pid: u32) -> f64 {
     let reading = CpuReading::take(pid);
     tokio::time::sleep(IDLE_TIME).await;
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -84,7 +84,7 @@
     .await?;
     tokio::time::sleep(SETTLING_TIME).await;
     let play = measure_idle(&coordinator, &front_ends).await;
-    if !front_ends[0].is_well().await? {
+    if !front_ends[0].is_healthy().await? {
         return Err("the first front end is not healthy".into());
     }
     for front_end in front_ends {
--- a/crates/pipithub-bench/src/scale/plot.rs
+++ b/crates/pipithub-bench/src/scale/plot.rs
@@ -19,10 +19,10 @@
     if points.is_empty() {
         return Ok(());
     }
-    let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
     let name: String = format!("{}-{}", series.part, series.what)
         .chars()
-        .map(plain)
+        .map(sanitize)
         .collect();
     let path = folder.join(name + ".svg");
     let root = SVGBackend::new(&path, (800, 500)).into_drawing_area();
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -33,27 +33,27 @@
     planned: PLANNED,
 };
 
-/// The results of one run; times are in seconds from the first written file.
+/// The results of one run; times are in seconds.
 struct Play {
     change: Change,
-    /// The time of a second change that follows the first at once.
+    /// The time from the first written file until all front ends have the second of two changes in direct succession.
     two_in_a_row: f64,
     overtaken: Overtaken,
-    /// From the completion of files that were half written at SIGHUP until all front ends had read them.
+    /// The time from the completion of files that were half written at SIGHUP until all front ends had read them.
     half_written: f64,
     /// The time of a restart of all front ends at once, which all settings but the coordinator's address need.
     restart: f64,
 }
 
-/// The cost of one change.
+/// The cost of one change. Times are from the first written file unless stated otherwise.
 struct Change {
-    /// Until the last front end had sent a request to the new coordinator.
+    /// The time until the last front end had sent a request to the new coordinator.
     all: f64,
-    /// From the SIGHUP to a front end until its request: the median.
+    /// The time from the SIGHUP to a front end until its request: the median.
     one_median: f64,
     /// The same for the slowest front end.
     one_last: f64,
-    /// CPU time of all front ends.
+    /// CPU time of all front ends, in seconds.
     cpu: f64,
     /// Bytes of the written files.
     written_bytes: f64,
@@ -63,7 +63,7 @@
 
 /// A change that starts when half of the front ends have the previous one.
 struct Overtaken {
-    /// Until all front ends have the second change.
+    /// The time from the start of the second change until all front ends have it.
     all: f64,
     /// Front ends that would keep the previous change if its distribution were not repeated.
     left_behind: f64,
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -36,16 +36,16 @@
 
 impl LogEvent {
     /// The log messages of the events.
-    const WORDS: [(&'static str, LogEvent); 3] = [
+    const MESSAGES: [(&'static str, LogEvent); 3] = [
         ("front end up", LogEvent::Up),
         ("configuration read again", LogEvent::Read),
         ("previous configuration stays in force", LogEvent::Kept),
     ];
 
     fn of_line(line: &str) -> Option<LogEvent> {
-        let known = LogEvent::WORDS
+        let known = LogEvent::MESSAGES
             .iter()
-            .find(|(words, _)| line.contains(words))?;
+            .find(|(message, _)| line.contains(message))?;
         Some(known.1)
     }
 }
@@ -75,7 +75,7 @@
         self.child.id().unwrap_or(0)
     }
 
-    /// Sends a signal, by the process's own id.
+    /// Sends a signal to the process.
     fn signal(&self, signal: Signal) -> Result<()> {
         let id = self
             .child
@@ -96,6 +96,7 @@
     workers: Vec<Value>,
     /// The number of classes in each configuration.
     classes: usize,
+    /// The coordinator of the latest change.
     in_force: Coordinator,
     /// Requests since the last change that were received while those to another coordinator were awaited.
     other_requests: Vec<ListRequest>,
@@ -182,9 +183,9 @@
     pub(super) fn replace(&self, front_end: usize, coordinator: Coordinator) -> Result<usize> {
         let text = self.text(front_end, coordinator);
         let file = &self.front_ends[front_end].file;
-        let beside = file.with_extension("fresh");
-        std::fs::write(&beside, &text)?;
-        std::fs::rename(&beside, file)?;
+        let temporary = file.with_extension("fresh");
+        std::fs::write(&temporary, &text)?;
+        std::fs::rename(&temporary, file)?;
         Ok(text.len())
     }
 
@@ -258,9 +259,9 @@
                 }
                 Ok(Some(Observation::Logged { .. })) => {}
                 _ => {
-                    let asked = requests.len();
+                    let received = requests.len();
                     return Err(format!(
-                        "{asked} of {count} front ends sent a request to the coordinator within {PATIENCE:?}"
+                        "{received} of {count} front ends sent a request to the coordinator within {PATIENCE:?}"
                     )
                     .into());
                 }
@@ -319,7 +320,7 @@
         Ok(())
     }
 
-    /// Restarts all front ends at once; returns the seconds until the last one has requested the list.
+    /// Restarts all front ends at the same time; returns the seconds until the last one has requested the list.
     pub(super) async fn restart(&mut self) -> Result<f64> {
         let to = self.next_coordinator();
         let begun = Instant::now();
--- a/crates/pipithub-bench/src/scale/workers/record.rs
+++ b/crates/pipithub-bench/src/scale/workers/record.rs
@@ -58,12 +58,12 @@
 }
 
 fn read(path: &Path) -> Result<FleetRecord> {
-    let place = path.display();
+    let file = path.display();
     if std::fs::metadata(path)?.len() > MAX_RECORD_BYTES {
-        return Err(format!("{place}: exceeds the maximum size of a record").into());
+        return Err(format!("{file}: exceeds the maximum size of a record").into());
     }
     let record: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    parse(&record).map_err(|error| format!("{place}: {error}").into())
+    parse(&record).map_err(|error| format!("{file}: {error}").into())
 }
 
 /// The error for a record that lacks a figure.
--- a/crates/pipithub-bench/tests/scale_workers.rs
+++ b/crates/pipithub-bench/tests/scale_workers.rs
@@ -43,11 +43,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), "a.json", &record(10, 20));
     write(folder.path(), "b.json", &record(100, 40));
-    let (place, out) = (
+    let (records, out) = (
         folder.path().display().to_string(),
         folder.path().join("out"),
     );
-    let output = scale(&["--fleet", &place, "--json", &out.display().to_string()]);
+    let output = scale(&["--fleet", &records, "--json", &out.display().to_string()]);
     assert!(
         output.status.success(),
         "{}",
@@ -90,9 +90,9 @@
     write(folder.path(), "short.json", &short);
     let output = scale(&["--fleet", &folder.path().display().to_string()]);
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).to_string();
+    let stderr = String::from_utf8_lossy(&output.stderr).to_string();
     assert!(
-        said.contains("short.json") && said.contains("/meters/probe is missing"),
-        "{said}"
+        stderr.contains("short.json") && stderr.contains("/meters/probe is missing"),
+        "{stderr}"
     );
 }
