--- a/crates/pipithub-bench/src/scale.rs
+++ b/crates/pipithub-bench/src/scale.rs
@@ -15,7 +15,7 @@
 use clap::{Args, ValueEnum};
 
 pub(crate) use fit::Fit;
-pub(crate) use series::{Figure, PlaysAtSize, Point, Series, SizeAxis};
+pub(crate) use series::{Figure, Point, RunsAtSize, Series, SizeAxis};
 
 use crate::Result;
 
@@ -77,7 +77,7 @@
     /// The seed of all random choices.
     pub seed: u64,
     /// How often each size is measured; the median is reported.
-    pub plays: usize,
+    pub runs: usize,
     /// The pipithub binary, for parts that start processes.
     pub binary: PathBuf,
     /// The folder of the fleet test's records.
@@ -95,14 +95,14 @@
         &self,
         default_sizes: &[u64],
         mut run: impl AsyncFnMut(usize) -> Result<T>,
-    ) -> Result<Vec<PlaysAtSize<T>>> {
+    ) -> Result<Vec<RunsAtSize<T>>> {
         let mut sizes = Vec::new();
         for size in self.sizes_or(default_sizes) {
-            let mut plays = Vec::new();
-            for _ in 0..self.plays {
-                plays.push(run(size as usize).await?);
+            let mut runs = Vec::new();
+            for _ in 0..self.runs {
+                runs.push(run(size as usize).await?);
             }
-            sizes.push(PlaysAtSize { size, plays });
+            sizes.push(RunsAtSize { size, runs });
         }
         Ok(sizes)
     }
@@ -123,7 +123,7 @@
         sizes: scale.sizes,
         only: scale.only,
         seed: scale.seed,
-        plays: scale.plays.max(1),
+        runs: scale.plays.max(1),
         binary,
         fleet: scale.fleet,
     };
--- a/crates/pipithub-bench/src/scale/consensus.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -105,17 +105,17 @@
     let mut stored = series("bytes stored at all voters for an entry", "B");
     let mut factor = series("times the 1 500 changes a day", "times");
     for batch in plan.sizes_or(&BATCHES) {
-        let plays = (0..plan.plays as u64)
-            .map(|play| EntryCosts::measure(voters, plan.seed + play, batch))
+        let runs = (0..plan.runs as u64)
+            .map(|run| EntryCosts::measure(voters, plan.seed + run, batch))
             .collect::<Result<Vec<EntryCosts>>>()?;
-        let values = |value: fn(&EntryCosts) -> f64| plays.iter().map(value).collect();
-        rate.push(batch, values(|play| play.entries_per_second));
-        cpu.push(batch, values(|play| play.cpu_us));
-        sent.push(batch, values(|play| play.sent_bytes));
-        stored.push(batch, values(|play| play.stored_bytes));
+        let values = |value: fn(&EntryCosts) -> f64| runs.iter().map(value).collect();
+        rate.push(batch, values(|run| run.entries_per_second));
+        cpu.push(batch, values(|run| run.cpu_us));
+        sent.push(batch, values(|run| run.sent_bytes));
+        stored.push(batch, values(|run| run.stored_bytes));
         factor.push(
             batch,
-            values(|play| play.entries_per_second * SECONDS_PER_DAY / PLANNED_CHANGES_PER_DAY),
+            values(|run| run.entries_per_second * SECONDS_PER_DAY / PLANNED_CHANGES_PER_DAY),
         );
     }
     Ok(vec![rate, cpu, sent, stored, factor])
@@ -132,7 +132,7 @@
         let state = state_with_leases(size)?;
         bytes.push(size, vec![postcard::to_stdvec(&state)?.len() as f64]);
         let mut times = Vec::new();
-        for _ in 0..plan.plays {
+        for _ in 0..plan.runs {
             let begun = Instant::now();
             black_box(postcard::to_stdvec(&state)?);
             times.push(begun.elapsed().as_secs_f64() * 1e6);
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -62,8 +62,8 @@
 }
 
 /// The scenarios of a run at this size. Endpoint list events of each kind are measured in the first one only.
-fn scenarios(plan: &Plan, play: usize, size: u64) -> Vec<NamedScenario> {
-    let seed = plan.seed + play as u64;
+fn scenarios(plan: &Plan, run: usize, size: u64) -> Vec<NamedScenario> {
+    let seed = plan.seed + run as u64;
     let quiet = |rate| Scenario::healthy(seed, size as usize, FUNCTIONS, rate, DURATION);
     let mut scenarios = vec![
         NamedScenario::new("quiet, 100/s", quiet(RATE), false),
@@ -80,8 +80,8 @@
     let sizes = plan.sizes_or(&SIZES);
     let mut by_workers = Figures::default();
     for &size in &sizes {
-        for play in 0..plan.plays {
-            measure_scenarios(plan, play, size, &mut by_workers);
+        for run in 0..plan.runs {
+            measure_scenarios(plan, run, size, &mut by_workers);
         }
         measure_memory(plan, size, &mut by_workers)?;
     }
@@ -103,13 +103,13 @@
     }
 }
 
-fn measure_scenarios(plan: &Plan, play: usize, size: u64, figures: &mut Figures) {
-    for (index, named) in scenarios(plan, play, size).into_iter().enumerate() {
+fn measure_scenarios(plan: &Plan, run: usize, size: u64, figures: &mut Figures) {
+    for (index, named) in scenarios(plan, run, size).into_iter().enumerate() {
         // The reference iterates over its whole state for each call. As both run in turns, this evicts the module's
         // state from the processor's caches; `--only module` runs the module alone.
         let with_reference = plan.wants("plain")
             && (!named.has_faults || size <= MAX_REFERENCE_SIZE_WITH_FAULTS)
-            && (play == 0 || size < REFERENCE_ONCE_FROM);
+            && (run == 0 || size < REFERENCE_ONCE_FROM);
         let Runs {
             reference,
             mut module,
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -9,7 +9,7 @@
 use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Figure, Plan, PlaysAtSize, Series};
+use crate::scale::{Figure, Plan, RunsAtSize, Series};
 
 /// How long a front end is observed.
 const WATCH_TIME: Duration = Duration::from_secs(6);
@@ -27,36 +27,36 @@
 }
 
 /// The effects of a list as the first one, and after an earlier one.
-struct Play {
+struct RunResult {
     at_start: Outcome,
     after_former: Outcome,
 }
 
-const FIGURES: [Figure<Play>; 7] = [
+const FIGURES: [Figure<RunResult>; 7] = [
     Figure::new(
         "a list at the start: whether it can serve after 6 s",
         "0 or 1",
-        |play| f64::from(u8::from(play.at_start.can_serve)),
+        |run| f64::from(u8::from(run.at_start.can_serve)),
     ),
-    Figure::new("a list at the start: connections in 6 s", "", |play| {
-        play.at_start.connections
+    Figure::new("a list at the start: connections in 6 s", "", |run| {
+        run.at_start.connections
     }),
-    Figure::new("a list at the start: bytes a second", "B/s", |play| {
-        play.at_start.bytes_per_second
+    Figure::new("a list at the start: bytes a second", "B/s", |run| {
+        run.at_start.bytes_per_second
     }),
-    Figure::new("a list at the start: CPU", "% of a core", |play| {
-        play.at_start.cpu_percent
+    Figure::new("a list at the start: CPU", "% of a core", |run| {
+        run.at_start.cpu_percent
     }),
-    Figure::new("a list at the start: most resident memory", "MiB", |play| {
-        play.at_start.peak_mib
+    Figure::new("a list at the start: most resident memory", "MiB", |run| {
+        run.at_start.peak_mib
     }),
     Figure::new(
         "a list after one of 100: whether it can serve after 6 s",
         "0 or 1",
-        |play| f64::from(u8::from(play.after_former.can_serve)),
+        |run| f64::from(u8::from(run.after_former.can_serve)),
     ),
-    Figure::new("a list after one of 100: connections in 6 s", "", |play| {
-        play.after_former.connections
+    Figure::new("a list after one of 100: connections in 6 s", "", |run| {
+        run.after_former.connections
     }),
 ];
 
@@ -64,13 +64,13 @@
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut sizes = Vec::new();
     for size in plan.sizes_or(&SIZES) {
-        let play = Play {
+        let run = RunResult {
             at_start: watch(plan, folder, size as usize, false).await?,
             after_former: watch(plan, folder, size as usize, true).await?,
         };
-        sizes.push(PlaysAtSize {
+        sizes.push(RunsAtSize {
             size,
-            plays: vec![play],
+            runs: vec![run],
         });
     }
     Ok(axis("workers", "processes", WORKERS).tabulate(&FIGURES, &sizes))
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -35,7 +35,7 @@
 const RECONNECT_PATIENCE: Duration = Duration::from_secs(60);
 
 /// The results of one run.
-struct Play {
+struct RunResult {
     front_ends: f64,
     memory_mib: f64,
     start_ms: f64,
@@ -68,7 +68,7 @@
     used: ResourceUse,
 }
 
-const FIGURES: [Figure<Play>; 23] = [
+const FIGURES: [Figure<RunResult>; 23] = [
     Figure::new(
         "proportional memory a hollow front end at 1000 workers",
         "MiB",
@@ -144,12 +144,12 @@
 
 /// Measures fleets of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let run = async |size| play(plan, folder, size).await;
+    let run = async |size| measure_run(plan, folder, size).await;
     let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("front ends", "hollow", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Play> {
+async fn measure_run(plan: &Plan, folder: &Path, count: usize) -> Result<RunResult> {
     let mut fleet = Fleet::start(plan, folder, count).await?;
     let start_ms = fleet.publish_first_list().await?;
     tokio::time::sleep(SETTLING_TIME).await;
@@ -164,7 +164,7 @@
     let cut = fleet.measure_outage().await;
     let recovery = fleet.measure_recovery().await?;
     fleet.stop().await;
-    Ok(Play {
+    Ok(RunResult {
         front_ends: count as f64,
         memory_mib,
         start_ms,
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -26,7 +26,7 @@
 const SIZES: [u64; 6] = [300, 1_000, 4_000, 6_000, 16_000, 32_000];
 
 /// The results of one run. The CPU of an idle front end is subtracted from that of events.
-struct Play {
+struct RunResult {
     list_bytes: f64,
     first_list_cpu_ms: f64,
     later_list_cpu_ms: f64,
@@ -41,44 +41,44 @@
     bytes: f64,
 }
 
-const FIGURES: [Figure<Play>; 9] = [
-    Figure::new("bytes of every worker in one event", "B", |play| {
-        play.list_bytes
+const FIGURES: [Figure<RunResult>; 9] = [
+    Figure::new("bytes of every worker in one event", "B", |run| {
+        run.list_bytes
     }),
-    Figure::new("CPU of the first event with every worker", "ms", |play| {
-        play.first_list_cpu_ms
+    Figure::new("CPU of the first event with every worker", "ms", |run| {
+        run.first_list_cpu_ms
     }),
-    Figure::new("CPU of a later event with every worker", "ms", |play| {
-        play.later_list_cpu_ms
+    Figure::new("CPU of a later event with every worker", "ms", |run| {
+        run.later_list_cpu_ms
     }),
-    Figure::new("CPU of an event that replaces one worker", "ms", |play| {
-        play.event.cpu_ms
+    Figure::new("CPU of an event that replaces one worker", "ms", |run| {
+        run.event.cpu_ms
     }),
-    Figure::new("bytes of an event that replaces one worker", "B", |play| {
-        play.event.bytes
+    Figure::new("bytes of an event that replaces one worker", "B", |run| {
+        run.event.bytes
     }),
-    Figure::new("CPU of a quiet front end", "% of a core", |play| {
-        play.idle_cpu_percent
+    Figure::new("CPU of a quiet front end", "% of a core", |run| {
+        run.idle_cpu_percent
     }),
-    Figure::new("resident memory of a front end", "MiB", |play| {
-        play.memory.resident_mib
+    Figure::new("resident memory of a front end", "MiB", |run| {
+        run.memory.resident_mib
     }),
-    Figure::new("proportional memory of a front end", "MiB", |play| {
-        play.memory.proportional_mib
+    Figure::new("proportional memory of a front end", "MiB", |run| {
+        run.memory.proportional_mib
     }),
-    Figure::new("most resident memory of a front end, ever", "MiB", |play| {
-        play.memory.peak_mib
+    Figure::new("most resident memory of a front end, ever", "MiB", |run| {
+        run.memory.peak_mib
     }),
 ];
 
 /// Measures one front end with lists of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let run = async |size| play(plan, folder, size).await;
+    let run = async |size| measure_run(plan, folder, size).await;
     let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("workers", "processes", WORKERS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Play> {
+async fn measure_run(plan: &Plan, folder: &Path, workers: usize) -> Result<RunResult> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     let config = configure(folder, &coordinator, "n0", plan.seed)?;
     let front_end = FrontEndProcess::start(&plan.binary, &config)?;
@@ -107,7 +107,7 @@
         idle * 100.0
     );
     front_end.kill().await;
-    Ok(Play {
+    Ok(RunResult {
         list_bytes,
         first_list_cpu_ms: first.beyond(idle) * 1e3,
         later_list_cpu_ms: later.beyond(idle) * 1e3,
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -21,7 +21,7 @@
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
 /// The results of one run. All values except the coordinator's CPU are per front end.
-struct Play {
+struct RunResult {
     resident_mib: f64,
     proportional_mib: f64,
     cpu_percent: f64,
@@ -31,44 +31,44 @@
     coordinator_cpu_percent: f64,
 }
 
-const FIGURES: [Figure<Play>; 7] = [
+const FIGURES: [Figure<RunResult>; 7] = [
     Figure::new(
         "resident memory a front end at 1000 workers",
         "MiB",
-        |play| play.resident_mib,
+        |run| run.resident_mib,
     ),
     Figure::new(
         "proportional memory a front end at 1000 workers",
         "MiB",
-        |play| play.proportional_mib,
+        |run| run.proportional_mib,
     ),
     Figure::new(
         "CPU a front end, quiet, at 1000 workers",
         "% of a core",
-        |play| play.cpu_percent,
+        |run| run.cpu_percent,
     ),
-    Figure::new("bytes a second to a front end, quiet", "B/s", |play| {
-        play.received_bytes_per_second
+    Figure::new("bytes a second to a front end, quiet", "B/s", |run| {
+        run.received_bytes_per_second
     }),
-    Figure::new("messages a second to a front end, quiet", "1/s", |play| {
-        play.messages_per_second
+    Figure::new("messages a second to a front end, quiet", "1/s", |run| {
+        run.messages_per_second
     }),
-    Figure::new("bytes a second from a front end, quiet", "B/s", |play| {
-        play.sent_bytes_per_second
+    Figure::new("bytes a second from a front end, quiet", "B/s", |run| {
+        run.sent_bytes_per_second
     }),
-    Figure::new("CPU of the stand-in, quiet", "% of a core", |play| {
-        play.coordinator_cpu_percent
+    Figure::new("CPU of the stand-in, quiet", "% of a core", |run| {
+        run.coordinator_cpu_percent
     }),
 ];
 
 /// Measures idle front ends at each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let run = async |size| play(plan, folder, size).await;
+    let run = async |size| measure_run(plan, folder, size).await;
     let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("front ends", "processes", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Play> {
+async fn measure_run(plan: &Plan, folder: &Path, count: usize) -> Result<RunResult> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     let tier = Tier::new(WORKERS, ZONES);
     coordinator.publish(true, tier.hosts(), &tier);
@@ -83,17 +83,17 @@
     })
     .await?;
     tokio::time::sleep(SETTLING_TIME).await;
-    let play = measure_idle(&coordinator, &front_ends).await;
+    let run = measure_idle(&coordinator, &front_ends).await;
     if !front_ends[0].is_healthy().await? {
         return Err("the first front end is not healthy".into());
     }
     for front_end in front_ends {
         front_end.kill().await;
     }
-    Ok(play)
+    Ok(run)
 }
 
-async fn measure_idle(coordinator: &Coordinator, front_ends: &[FrontEndProcess]) -> Play {
+async fn measure_idle(coordinator: &Coordinator, front_ends: &[FrontEndProcess]) -> RunResult {
     let cpu_seconds = || -> f64 {
         front_ends
             .iter()
@@ -116,7 +116,7 @@
         .collect();
     let each = |total: f64| total / front_ends.len() as f64;
     let messages = counts.comments + counts.events - counts_before.comments - counts_before.events;
-    Play {
+    RunResult {
         resident_mib: each(memory.iter().map(|one| one.resident_mib).sum()),
         proportional_mib: each(memory.iter().map(|one| one.proportional_mib).sum()),
         cpu_percent: each(cpu) / seconds * 100.0,
--- a/crates/pipithub-bench/src/scale/membership.rs
+++ b/crates/pipithub-bench/src/scale/membership.rs
@@ -22,7 +22,7 @@
     planned: 1_700,
 };
 /// The number of concurrent runs, except of the scenario whose CPU is measured.
-const PARALLEL_PLAYS: usize = 3;
+const PARALLEL_RUNS: usize = 3;
 
 /// Runs all scenarios at each size and collects their figures.
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
@@ -32,7 +32,7 @@
         .collect();
     for size in plan.sizes_or(&SIZES) {
         for scenario in Scenario::value_variants() {
-            let rows = play_all(plan, *scenario, size)?;
+            let rows = run_all(plan, *scenario, size)?;
             eprintln!("{size} members, {scenario:?}: {} runs", rows.len());
             for (figure, series) in FIGURES.iter().zip(&mut all) {
                 if figure.scenario == *scenario {
@@ -64,29 +64,27 @@
 }
 
 /// Runs a scenario with each of the plan's seeds.
-fn play_all(plan: &Plan, scenario: Scenario, size: u64) -> Result<Vec<Measurements>> {
-    let seeds: Vec<u64> = (0..plan.plays as u64)
-        .map(|play| plan.seed + play)
-        .collect();
+fn run_all(plan: &Plan, scenario: Scenario, size: u64) -> Result<Vec<Measurements>> {
+    let seeds: Vec<u64> = (0..plan.runs as u64).map(|run| plan.seed + run).collect();
     let parallel = if scenario == Scenario::Ordinary {
         1
     } else {
-        PARALLEL_PLAYS
+        PARALLEL_RUNS
     };
     let mut rows = Vec::new();
     for seeds in seeds.chunks(parallel) {
-        for row in play_in_parallel(scenario, size, seeds) {
+        for row in run_in_parallel(scenario, size, seeds) {
             rows.push(row?);
         }
     }
     Ok(rows)
 }
 
-fn play_in_parallel(scenario: Scenario, size: u64, seeds: &[u64]) -> Vec<Result<Measurements>> {
+fn run_in_parallel(scenario: Scenario, size: u64, seeds: &[u64]) -> Vec<Result<Measurements>> {
     std::thread::scope(|scope| {
         let threads: Vec<_> = seeds
             .iter()
-            .map(|seed| scope.spawn(|| play(scenario, size, *seed)))
+            .map(|seed| scope.spawn(|| run_scenario(scenario, size, *seed)))
             .collect();
         threads
             .into_iter()
@@ -97,7 +95,7 @@
 }
 
 /// Runs one scenario in a process of its own.
-fn play(scenario: Scenario, size: u64, seed: u64) -> Result<Measurements> {
+fn run_scenario(scenario: Scenario, size: u64, seed: u64) -> Result<Measurements> {
     let name = scenario
         .to_possible_value()
         .ok_or("a scenario without a name")?;
--- a/crates/pipithub-bench/src/scale/series.rs
+++ b/crates/pipithub-bench/src/scale/series.rs
@@ -18,7 +18,8 @@
     #[serde(rename = "greatest")]
     pub max: f64,
     /// The number of runs.
-    pub plays: usize,
+    #[serde(rename = "plays")]
+    pub runs: usize,
 }
 
 impl Point {
@@ -26,13 +27,13 @@
     pub(crate) fn of(size: u64, mut values: Vec<f64>) -> Point {
         values.sort_by(f64::total_cmp);
         let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
-        let plays = values.len();
+        let runs = values.len();
         Point {
             size,
-            value: at(plays / 2),
+            value: at(runs / 2),
             min: at(0),
-            max: at(plays.saturating_sub(1)),
-            plays,
+            max: at(runs.saturating_sub(1)),
+            runs,
         }
     }
 }
@@ -69,12 +70,12 @@
     pub(crate) fn tabulate<T>(
         &self,
         figures: &[Figure<T>],
-        sizes: &[PlaysAtSize<T>],
+        sizes: &[RunsAtSize<T>],
     ) -> Vec<Series> {
         let series_of = |figure: &Figure<T>| {
             let mut series = self.series(figure.what, figure.unit);
             for one in sizes {
-                series.push(one.size, one.plays.iter().map(figure.value).collect());
+                series.push(one.size, one.runs.iter().map(figure.value).collect());
             }
             series
         };
@@ -104,11 +105,11 @@
 }
 
 /// The runs at one size.
-pub(crate) struct PlaysAtSize<T> {
+pub(crate) struct RunsAtSize<T> {
     /// The size, in the unit of the series.
     pub size: u64,
     /// The result of each run.
-    pub plays: Vec<T>,
+    pub runs: Vec<T>,
 }
 
 /// One figure over several sizes.
@@ -154,7 +155,7 @@
         for point in &self.points {
             println!(
                 "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} runs)",
-                point.size, self.size_unit, point.value, point.min, point.max, point.plays
+                point.size, self.size_unit, point.value, point.min, point.max, point.runs
             );
         }
         if let Some(fit) = &self.fit {
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -12,7 +12,7 @@
 use coordinator::{Coordinator, ListRequest};
 use site::{LogEvent, Site};
 
-use super::{Figure, Plan, PlaysAtSize, Series, SizeAxis};
+use super::{Figure, Plan, RunsAtSize, Series, SizeAxis};
 use crate::Result;
 
 /// The planned number of front ends.
@@ -34,7 +34,7 @@
 };
 
 /// The results of one run; times are in seconds.
-struct Play {
+struct RunResult {
     change: Change,
     /// The time from the first written file until all front ends have the second of two changes in direct succession.
     two_in_a_row: f64,
@@ -69,7 +69,7 @@
     left_behind: f64,
 }
 
-const FIGURES: [Figure<Play>; 11] = [
+const FIGURES: [Figure<RunResult>; 11] = [
     Figure::new(
         "all on the new coordinator after files and SIGHUP",
         "ms",
@@ -122,8 +122,8 @@
     let folder = tempfile::tempdir()?;
     let mut sizes = Vec::new();
     for size in plan.sizes_or(&FRONT_ENDS) {
-        let plays = play_all(plan, size as usize, folder.path()).await?;
-        sizes.push(PlaysAtSize { size, plays });
+        let runs = run_all(plan, size as usize, folder.path()).await?;
+        sizes.push(RunsAtSize { size, runs });
     }
     let mut all = AXIS.tabulate(&FIGURES, &sizes);
     all.extend(reading::measure(plan, folder.path()).await?);
@@ -152,11 +152,11 @@
 }
 
 /// All runs at one size, with one set of processes.
-async fn play_all(plan: &Plan, size: usize, folder: &Path) -> Result<Vec<Play>> {
+async fn run_all(plan: &Plan, size: usize, folder: &Path) -> Result<Vec<RunResult>> {
     let mut site = Site::start(&plan.binary, folder, size, 1, 1).await?;
-    let mut plays = Vec::new();
-    for _ in 0..plan.plays {
-        plays.push(Play {
+    let mut runs = Vec::new();
+    for _ in 0..plan.runs {
+        runs.push(RunResult {
             change: one_change(&mut site).await?,
             two_in_a_row: two_in_a_row(&mut site).await?,
             overtaken: overtaken(&mut site).await?,
@@ -165,7 +165,7 @@
         });
     }
     site.stop().await;
-    Ok(plays)
+    Ok(runs)
 }
 
 async fn one_change(site: &mut Site) -> Result<Change> {
--- a/crates/pipithub-bench/src/scale/settings/reading.rs
+++ b/crates/pipithub-bench/src/scale/settings/reading.rs
@@ -10,7 +10,7 @@
 use super::configuration::{configuration, worker};
 use super::site::{LogEvent, Site};
 use crate::Result;
-use crate::scale::{Figure, Plan, PlaysAtSize, Series, SizeAxis};
+use crate::scale::{Figure, Plan, RunsAtSize, Series, SizeAxis};
 
 /// The number of entries of a configuration, up to the planned number of functions. Configurations do not list functions.
 const ENTRIES: [u64; 5] = [10, 100, 1_000, 10_000, 43_000];
@@ -33,16 +33,16 @@
 }
 
 /// The cost of a start with a configuration, and of reading it again.
-struct ProcessPlay {
+struct ProcessRun {
     start_ms: f64,
     reload_ms: f64,
     peak_mib: f64,
 }
 
-const PROCESS_FIGURES: [Figure<ProcessPlay>; 3] = [
-    Figure::new("CPU of a start", "ms", |play| play.start_ms),
-    Figure::new("CPU of one SIGHUP", "ms", |play| play.reload_ms),
-    Figure::new("peak memory of a process", "MB", |play| play.peak_mib),
+const PROCESS_FIGURES: [Figure<ProcessRun>; 3] = [
+    Figure::new("CPU of a start", "ms", |run| run.start_ms),
+    Figure::new("CPU of one SIGHUP", "ms", |run| run.reload_ms),
+    Figure::new("peak memory of a process", "MB", |run| run.peak_mib),
 ];
 
 /// Measures the parser alone, and processes that start with such a file and read it again.
@@ -60,11 +60,11 @@
         workers.push(size, read(plan, &text)?);
         let text = configuration(0, NO_COORDINATOR, &known[..1], size as usize).to_string();
         classes.push(size, read(plan, &text)?);
-        let mut plays = Vec::new();
-        for _ in 0..plan.plays {
-            plays.push(play(plan, folder, size).await?);
+        let mut runs = Vec::new();
+        for _ in 0..plan.runs {
+            runs.push(measure_run(plan, folder, size).await?);
         }
-        processes.push(PlaysAtSize { size, plays });
+        processes.push(RunsAtSize { size, runs });
     }
     let mut all = vec![bytes, workers, classes];
     let process_axis = axis("workers known", "processes", WORKERS);
@@ -72,26 +72,26 @@
     Ok(all)
 }
 
-async fn play(plan: &Plan, folder: &Path, workers: u64) -> Result<ProcessPlay> {
+async fn measure_run(plan: &Plan, folder: &Path, workers: u64) -> Result<ProcessRun> {
     let mut site = Site::start(&plan.binary, folder, 1, workers, 1).await?;
     let start_ms = site.cpu_seconds() * 1e3;
     let before = site.cpu_seconds();
     // The file is unchanged, so only reading it costs time.
     site.reload(0)?;
     site.all_log(LogEvent::Read).await?;
-    let play = ProcessPlay {
+    let run = ProcessRun {
         start_ms,
         reload_ms: (site.cpu_seconds() - before) * 1e3,
         peak_mib: site.peak_mib(),
     };
     site.stop().await;
-    Ok(play)
+    Ok(run)
 }
 
 /// The times of parsing a text, in milliseconds.
 fn read(plan: &Plan, text: &str) -> Result<Vec<f64>> {
     let mut times = Vec::new();
-    for _ in 0..plan.plays {
+    for _ in 0..plan.runs {
         let rounds = (MIN_BYTES_READ / text.len()).max(1);
         let begun = Instant::now();
         for _ in 0..rounds {
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Figure, Plan, PlaysAtSize, Point, Series, SizeAxis};
+use super::{Figure, Plan, Point, RunsAtSize, Series, SizeAxis};
 use crate::Result;
 use record::FleetRecord;
 
@@ -96,7 +96,7 @@
 }
 
 /// The records by the kind of their scenario, and then by the number of front ends, in ascending order.
-fn by_kind_and_size(records: Vec<FleetRecord>) -> BTreeMap<String, Vec<PlaysAtSize<FleetRecord>>> {
+fn by_kind_and_size(records: Vec<FleetRecord>) -> BTreeMap<String, Vec<RunsAtSize<FleetRecord>>> {
     let mut kinds: BTreeMap<String, BTreeMap<u64, Vec<FleetRecord>>> = BTreeMap::new();
     for record in records {
         kinds
@@ -109,7 +109,7 @@
     let in_order = |sizes: BTreeMap<u64, Vec<FleetRecord>>| {
         sizes
             .into_iter()
-            .map(|(size, plays)| PlaysAtSize { size, plays })
+            .map(|(size, runs)| RunsAtSize { size, runs })
             .collect()
     };
     kinds
@@ -121,11 +121,11 @@
 /// Prints the load of each planned worker per second, by the ratios of the largest size. The fleet test has few calls per
 /// second and front end. Connections that carry more calls are made less often, so their number is an upper bound. It
 /// also has more front ends than workers, whereas the plan has nine workers for each front end.
-fn extrapolate(kind: &str, largest: &PlaysAtSize<FleetRecord>) {
+fn extrapolate(kind: &str, largest: &RunsAtSize<FleetRecord>) {
     let calls = PLANNED as f64 * CALLS_PER_FRONT_END / WORKERS;
     let size = largest.size;
     let median = |figure: fn(&FleetRecord) -> f64| {
-        Point::of(size, largest.plays.iter().map(figure).collect()).value
+        Point::of(size, largest.runs.iter().map(figure).collect()).value
     };
     println!(
         "  {kind}: by the ratios at {size} front ends with {:.1} calls a second each, a worker of {WORKERS} under {PLANNED} \
