--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -1,4 +1,5 @@
-//! Counts the bytes that the decision module of a front end holds: `decision-memory plain|module WORKERS FUNCTIONS CALLS SEED`.
+//! Counts the bytes that the decisions of a front end hold in memory:
+//! `decision-memory plain|module WORKERS FUNCTIONS CALLS SEED`.
 //!
 //! Prints the peak and the bytes held at the end, or `slow` if the run takes longer than 10 s. `plain` selects the
 //! reference implementation, `module` the decision module. It is a separate program because counting needs an allocator
--- a/crates/pipithub-bench/src/membership/measurements.rs
+++ b/crates/pipithub-bench/src/membership/measurements.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The result of a scenario. Times are in simulated seconds; -1 for an event that did not happen.
+/// The result of a scenario. Times are in simulated seconds; -1 for an event that did not happen. If the fleet does not
+/// converge after the start, the scenario ends there and all later values are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Measurements {
     /// The time from the start until all members knew each other.
--- a/crates/pipithub-bench/src/membership/meter.rs
+++ b/crates/pipithub-bench/src/membership/meter.rs
@@ -86,7 +86,7 @@
         match event {
             Event::Suspected(member) if is_running(&member.identity.name) => self.suspected += 1.0,
             Event::Down { member, .. } if is_running(&member.identity.name) => {
-                self.false_deaths += 1.0
+                self.false_deaths += 1.0;
             }
             Event::MemberLimitReached(_) => self.rejected_members += 1.0,
             _ => {}
