--- a/crates/pipithub-bench/src/membership/measurements.rs
+++ b/crates/pipithub-bench/src/membership/measurements.rs
@@ -9,8 +9,8 @@
     /// The time from the start until all members knew each other.
     #[serde(rename = "together")]
     pub convergence: f64,
-    /// The time from the fault until the first member detected it, in scenarios with failed members; 0 in the others. The
-    /// fault is a failure, the end of a partition or the last restart.
+    /// The time from the fault until the first member detected it, in scenarios with failed members; 0 in the others.
+    /// The fault is a failure, the end of a partition or the last restart.
     #[serde(rename = "first")]
     pub first_detection: f64,
     /// The time from the fault until all members knew exactly the running ones.
--- a/crates/pipithub-bench/src/membership/meter.rs
+++ b/crates/pipithub-bench/src/membership/meter.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Runs the fleet until a condition holds. Returns the seconds until then, or `NEVER` if it does not hold within the
-    /// patience.
+    /// Runs the fleet until a condition holds. Returns the seconds until then, or `NEVER` if it does not hold within
+    /// the patience.
     pub(super) fn until(&mut self, fleet: &mut Fleet, condition: impl Fn(&Fleet) -> bool) -> f64 {
         let begun = fleet.network.now();
         while fleet.network.now() < begun + self.patience {
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The CPU time used since this reading. The process has one thread, so its CPU time is divided in proportion to the
-    /// elapsed time that the membership cores and the simulation took.
+    /// The CPU time used since this reading. The process has one thread, so its CPU time is divided in proportion to
+    /// the elapsed time that the membership cores and the simulation took.
     pub(super) fn since(&self, fleet: &Fleet, simulated_seconds: f64) -> CpuShares {
         let now = CpuReading::take(fleet);
         let elapsed = now.at.duration_since(self.at).as_secs_f64().max(1e-9);
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -1,5 +1,5 @@
-//! The cost of a call, an endpoint list event and a tick in the decision module and, in the same simulated scenarios, in
-//! its reference implementation, which is called `plain` in the results.
+//! The cost of a call, an endpoint list event and a tick in the decision module and, in the same simulated scenarios,
+//! in its reference implementation, which is called `plain` in the results.
 
 mod figures;
 mod memory;
