--- a/crates/pipithub-bench/src/scale/consensus.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -20,15 +20,15 @@
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// The planned number of configuration changes per day.
 const PLANNED_CHANGES_PER_DAY: f64 = 1_500.0;
-/// The entries that result from them in a year.
+/// The number of entries that result from these changes in a year.
 const PLANNED_ENTRIES: u64 = 547_500;
 const PLANNED_BATCH: u64 = 100;
 const PLANNED_LEASES: u64 = 10_000;
-/// Entries that are committed during a measurement.
+/// The number of entries that are committed during a measurement.
 const ENTRIES: u64 = 20_000;
-/// Entries that are committed before a measurement.
+/// The number of entries that are committed before a measurement.
 const WARM_UP_ENTRIES: u64 = 2_000;
-/// Entries whose messages are counted after many others have been committed.
+/// The number of entries whose messages are counted after many others have been committed.
 const LATER_ENTRIES: u64 = 100;
 /// The core does not support clusters of seven voters.
 const CLUSTER_SIZES: [usize; 2] = [3, 5];
@@ -105,17 +105,17 @@
     let mut stored = series("bytes stored at all voters for an entry", "B");
     let mut factor = series("times the 1 500 changes a day", "times");
     for batch in plan.sizes_or(&BATCHES) {
-        let plays = (0..plan.plays as u64)
-            .map(|play| EntryCosts::measure(voters, plan.seed + play, batch))
+        let runs = (0..plan.runs as u64)
+            .map(|run| EntryCosts::measure(voters, plan.seed + run, batch))
             .collect::<Result<Vec<EntryCosts>>>()?;
-        let values = |value: fn(&EntryCosts) -> f64| plays.iter().map(value).collect();
-        rate.push(batch, values(|play| play.entries_per_second));
-        cpu.push(batch, values(|play| play.cpu_us));
-        sent.push(batch, values(|play| play.sent_bytes));
-        stored.push(batch, values(|play| play.stored_bytes));
+        let values = |value: fn(&EntryCosts) -> f64| runs.iter().map(value).collect();
+        rate.push(batch, values(|run| run.entries_per_second));
+        cpu.push(batch, values(|run| run.cpu_us));
+        sent.push(batch, values(|run| run.sent_bytes));
+        stored.push(batch, values(|run| run.stored_bytes));
         factor.push(
             batch,
-            values(|play| play.entries_per_second * SECONDS_PER_DAY / PLANNED_CHANGES_PER_DAY),
+            values(|run| run.entries_per_second * SECONDS_PER_DAY / PLANNED_CHANGES_PER_DAY),
         );
     }
     Ok(vec![rate, cpu, sent, stored, factor])
@@ -132,7 +132,7 @@
         let state = state_with_leases(size)?;
         bytes.push(size, vec![postcard::to_stdvec(&state)?.len() as f64]);
         let mut times = Vec::new();
-        for _ in 0..plan.plays {
+        for _ in 0..plan.runs {
             let begun = Instant::now();
             black_box(postcard::to_stdvec(&state)?);
             times.push(begun.elapsed().as_secs_f64() * 1e6);
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -28,14 +28,14 @@
 /// The number of measured events that replace one worker each.
 const REPLACEMENTS: usize = 10;
 /// The duration of the outage. Connection attempts have their longest backoff after 2 s of it.
-const CUT_TIME: Duration = Duration::from_secs(10);
+const OUTAGE_DURATION: Duration = Duration::from_secs(10);
 /// The interval over which the rate of the coordinator is measured.
 const RATE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long front ends may take to reconnect after the outage.
 const RECONNECT_PATIENCE: Duration = Duration::from_secs(60);
 
 /// The results of one run.
-struct Play {
+struct RunResult {
     front_ends: f64,
     memory_mib: f64,
     start_ms: f64,
@@ -68,7 +68,7 @@
     used: ResourceUse,
 }
 
-const FIGURES: [Figure<Play>; 23] = [
+const FIGURES: [Figure<RunResult>; 23] = [
     Figure::new(
         "proportional memory a hollow front end at 1000 workers",
         "MiB",
@@ -144,12 +144,12 @@
 
 /// Measures fleets of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let run = async |size| play(plan, folder, size).await;
+    let run = async |size| measure_run(plan, folder, size).await;
     let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("front ends", "hollow", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Play> {
+async fn measure_run(plan: &Plan, folder: &Path, count: usize) -> Result<RunResult> {
     let mut fleet = Fleet::start(plan, folder, count).await?;
     let start_ms = fleet.publish_first_list().await?;
     tokio::time::sleep(SETTLING_TIME).await;
@@ -168,10 +168,10 @@
             .concat()
         })
         .await?;
-    let cut = fleet.measure_cut().await;
+    let cut = fleet.measure_outage().await;
     let recovery = fleet.measure_recovery().await?;
     fleet.stop().await;
-    Ok(Play {
+    Ok(RunResult {
         front_ends: count as f64,
         memory_mib,
         start_ms,
@@ -300,10 +300,10 @@
     }
 
     /// Starts the outage and measures the front ends at its end.
-    async fn measure_cut(&self) -> ResourceUse {
+    async fn measure_outage(&self) -> ResourceUse {
         self.coordinator
             .change_behaviour(|behaviour| behaviour.cut = true);
-        tokio::time::sleep(CUT_TIME.saturating_sub(IDLE_TIME)).await;
+        tokio::time::sleep(OUTAGE_DURATION.saturating_sub(IDLE_TIME)).await;
         self.measure_idle().await
     }
 
@@ -349,7 +349,7 @@
     }
 }
 
-/// How long the coordinator wrote, and its highest rate in bytes per second.
+/// The time that the coordinator took to write an event to each front end, and its highest rate in bytes per second.
 struct Writing {
     milliseconds: f64,
     peak_rate: f64,
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -12,7 +12,7 @@
 use coordinator::{Coordinator, ListRequest};
 use site::{LogEvent, Site};
 
-use super::{Figure, Plan, PlaysAtSize, Series, SizeAxis};
+use super::{Figure, Plan, RunsAtSize, Series, SizeAxis};
 use crate::Result;
 
 /// The planned number of front ends.
@@ -33,27 +33,27 @@
     planned: PLANNED,
 };
 
-/// The results of one run; times are in seconds from the first written file.
-struct Play {
+/// The results of one run; times are in seconds.
+struct RunResult {
     change: Change,
-    /// The time of a second change that follows the first at once.
+    /// The time from the first written file until all front ends have the second of two changes in direct succession.
     two_in_a_row: f64,
     overtaken: Overtaken,
-    /// From the completion of files that were half written at SIGHUP until all front ends had read them.
+    /// The time from the completion of files that were half written at SIGHUP until all front ends had read them.
     half_written: f64,
     /// The time of a restart of all front ends at once, which all settings but the coordinator's address need.
     restart: f64,
 }
 
-/// The cost of one change.
+/// The cost of one change. Times are from the first written file unless stated otherwise.
 struct Change {
-    /// Until the last front end had sent a request to the new coordinator.
+    /// The time until the last front end had sent a request to the new coordinator.
     all: f64,
-    /// From the SIGHUP to a front end until its request: the median.
+    /// The time from the SIGHUP to a front end until its request: the median.
     one_median: f64,
     /// The same for the slowest front end.
     one_last: f64,
-    /// CPU time of all front ends.
+    /// CPU time of all front ends, in seconds.
     cpu: f64,
     /// Bytes of the written files.
     written_bytes: f64,
@@ -63,13 +63,13 @@
 
 /// A change that starts when half of the front ends have the previous one.
 struct Overtaken {
-    /// Until all front ends have the second change.
+    /// The time from the start of the second change until all front ends have it.
     all: f64,
     /// Front ends that would keep the previous change if its distribution were not repeated.
     left_behind: f64,
 }
 
-const FIGURES: [Figure<Play>; 11] = [
+const FIGURES: [Figure<RunResult>; 11] = [
     Figure::new(
         "all on the new coordinator after files and SIGHUP",
         "ms",
@@ -122,8 +122,8 @@
     let folder = tempfile::tempdir()?;
     let mut sizes = Vec::new();
     for size in plan.sizes_or(&FRONT_ENDS) {
-        let plays = play_all(plan, size as usize, folder.path()).await?;
-        sizes.push(PlaysAtSize { size, plays });
+        let runs = run_all(plan, size as usize, folder.path()).await?;
+        sizes.push(RunsAtSize { size, runs });
     }
     let mut all = AXIS.tabulate(&FIGURES, &sizes);
     all.extend(reading::measure(plan, folder.path()).await?);
@@ -152,11 +152,11 @@
 }
 
 /// All runs at one size, with one set of processes.
-async fn play_all(plan: &Plan, size: usize, folder: &Path) -> Result<Vec<Play>> {
+async fn run_all(plan: &Plan, size: usize, folder: &Path) -> Result<Vec<RunResult>> {
     let mut site = Site::start(&plan.binary, folder, size, 1, 1).await?;
-    let mut plays = Vec::new();
-    for _ in 0..plan.plays {
-        plays.push(Play {
+    let mut runs = Vec::new();
+    for _ in 0..plan.runs {
+        runs.push(RunResult {
             change: one_change(&mut site).await?,
             two_in_a_row: two_in_a_row(&mut site).await?,
             overtaken: overtaken(&mut site).await?,
@@ -165,7 +165,7 @@
         });
     }
     site.stop().await;
-    Ok(plays)
+    Ok(runs)
 }
 
 async fn one_change(site: &mut Site) -> Result<Change> {
